--- a/crates/alderglade-core/src/fleet/caller.rs
+++ b/crates/alderglade-core/src/fleet/caller.rs
@@ -17,11 +17,11 @@
 const SILENT: f64 = 0.6;
 
 /// Gives how long a caller waits for the first or the next event.
-pub fn patience(aim: Duration, longest_pause: Duration) -> Duration {
-    LEAST.max(aim * AIMS).max(longest_pause * PAUSES)
+pub fn response_timeout(objective: Duration, longest_pause: Duration) -> Duration {
+    LEAST.max(objective * AIMS).max(longest_pause * PAUSES)
 }
 
 /// Gives how long a server may be silent where the caller's patience has `left` to go.
-pub fn silence(left: Duration) -> Duration {
+pub fn silence_timeout(left: Duration) -> Duration {
     left.mul_f64(SILENT)
 }
--- a/crates/alderglade-core/src/fleet/config.rs
+++ b/crates/alderglade-core/src/fleet/config.rs
@@ -4,9 +4,9 @@
 
 pub use patch::Patch;
 
-use super::book::Pauses;
 use super::homes::Homes;
-use super::pass::Figures;
+use super::load_table::Pauses;
+use super::pass::EngineProfile;
 use crate::Name;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -31,7 +31,7 @@
 
 impl Kind {
     /// Says whether a request of this kind may run again after it may have run once.
-    pub fn repeatable(self) -> bool {
+    pub fn is_repeatable(self) -> bool {
         match self {
             Kind::Idempotent => true,
             Kind::NonIdempotent => false,
@@ -71,7 +71,7 @@
     /// The longest that a request is held.
     pub time_limit: Duration,
     /// The time within which an answer (of a stream: its first event) earns its full worth.
-    pub aim: Duration,
+    pub objective: Duration,
     /// The rank of its requests; `0` comes first. Nothing goes by it: prompts are placed by what they
     /// are worth.
     pub priority: u32,
@@ -106,7 +106,7 @@
     /// Its name.
     pub name: Name,
     /// The timing of its engines, where its backend servers are model engines.
-    pub engine: Option<Figures>,
+    pub engine: Option<EngineProfile>,
     /// The connections that one backend server accepts from all callers together. Nothing goes by it:
     /// a host has as many connections to a server as requests in hand there.
     pub max_connections: u32,
@@ -120,20 +120,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
     /// The most bytes of a request's head.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// The most bytes of a request's body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// The longest that a connection may be at rest.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     /// Gives bounds for a configuration that states none: those of common HTTP servers.
     fn default() -> Limits {
         Limits {
-            header_bytes: 16 * 1024,
-            body_bytes: 4 * 1024 * 1024,
-            idle: Duration::from_secs(15),
+            max_header_bytes: 16 * 1024,
+            max_body_bytes: 4 * 1024 * 1024,
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/crates/alderglade-core/src/fleet/book.rs
+++ b/crates/alderglade-core/src/fleet/load_table.rs
@@ -4,32 +4,32 @@
 //! made good by the next one. What a silent host held lapses. Reading is told as all that was ever placed:
 //! what a figure has risen by is new work for the engine, and [`Progress`] works out when it is done.
 
-mod hold;
-mod line;
 mod load;
 mod notice;
 mod peer;
+mod queue;
+mod reservation;
 
-pub use hold::{Hold, HoldId, Part};
-pub use line::{Demand, WaitId};
 pub use load::{Load, PAUSE_CLASSES, PauseClass, Pauses};
 pub use notice::{Holding, Notice};
+pub use queue::{Demand, QueuedId};
+pub use reservation::{Part, Reservation, ReservationId};
 
 use super::heartbeat;
 use super::incarnation::Key;
-use super::pass::Figures;
-use super::progress::{Ahead, Pace, Progress};
+use super::pass::EngineProfile;
+use super::progress::{Backlog, Pace, Progress};
 use super::relay::Neighbour;
 use crate::Name;
 use crate::time::Time;
-use line::Entry;
 use peer::Peer;
+use queue::Entry;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
 /// A failure domain none of whose hosts was heard of for this long may be cut off: two of the shortest
 /// heartbeats, and more than half of another for a notice on its way.
-pub const CUT_OFF: Duration = Duration::from_millis(650);
+pub const DOMAIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(650);
 
 /// The most prompts of one host that its peers hear of, those first that came first: more don't fit a packet beside its
 /// holdings, and who is next is long decided among so many.
@@ -50,24 +50,24 @@
 #[derive(Debug)]
 struct Engine {
     /// Its timing.
-    figures: Figures,
+    profile: EngineProfile,
     /// Where it is in its passes.
     progress: Progress,
 }
 
 /// The book of one host.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct LoadTable {
     /// This host's own placements.
-    holds: BTreeMap<HoldId, Hold>,
+    reservations: BTreeMap<ReservationId, Reservation>,
     /// The number of the last of them, or of the last own prompt that waits.
     next: u64,
     /// This host's own prompts that wait.
-    own_line: BTreeMap<WaitId, Entry>,
+    own_queue: BTreeMap<QueuedId, Entry>,
     /// What this host holds at each server.
     own: HashMap<Key, Own>,
     /// Prompts that this host is having read and that take up many engines at once.
-    own_giants: u32,
+    own_multi_engine_prompts: u32,
     /// Servers whose own holdings have changed since peers were told.
     changed: BTreeSet<Key>,
     /// The other hosts.
@@ -80,14 +80,14 @@
     domains: HashMap<Name, Time>,
 }
 
-impl Book {
+impl LoadTable {
     /// Takes the engines that there are, with their timing.
-    pub fn set_engines(&mut self, engines: HashMap<Key, Figures>) {
+    pub fn set_engines(&mut self, engines: HashMap<Key, EngineProfile>) {
         let mut known = std::mem::take(&mut self.engines);
-        let kept = engines.into_iter().map(|(server, figures)| {
+        let kept = engines.into_iter().map(|(server, profile)| {
             let progress = known.remove(&server).map(|engine| engine.progress);
             let progress = progress.unwrap_or_default();
-            (server, Engine { figures, progress })
+            (server, Engine { profile, progress })
         });
         self.engines = kept.collect();
         let engines = &self.engines;
@@ -97,15 +97,15 @@
     }
 
     /// Notes a placement.
-    pub fn hold(&mut self, hold: Hold, now: Time) -> HoldId {
+    pub fn reserve(&mut self, reservation: Reservation, now: Time) -> ReservationId {
         self.next += 1;
-        let id = HoldId(self.next);
-        self.place(hold.first, &hold.load, now);
-        for helper in &hold.helpers {
+        let id = ReservationId(self.next);
+        self.place(reservation.primary, &reservation.load, now);
+        for helper in &reservation.helpers {
             self.place(helper.server, &helper.load, now);
         }
-        self.own_giants += u32::from(hold.giant);
-        self.holds.insert(id, hold);
+        self.own_multi_engine_prompts += u32::from(reservation.multi_engine);
+        self.reservations.insert(id, reservation);
         id
     }
 
@@ -113,39 +113,43 @@
     ///
     /// Returns whether peers should be told at once: there is room for another prompt that takes up many
     /// engines.
-    pub fn read(&mut self, id: HoldId, now: Time) -> bool {
-        let Some(hold) = self.holds.get_mut(&id) else {
+    pub fn mark_read(&mut self, id: ReservationId, now: Time) -> bool {
+        let Some(reservation) = self.reservations.get_mut(&id) else {
             return false;
         };
-        let was_giant = std::mem::take(&mut hold.giant);
-        self.own_giants -= u32::from(was_giant);
-        let server = hold.first;
+        let was_multi_engine = std::mem::take(&mut reservation.multi_engine);
+        self.own_multi_engine_prompts -= u32::from(was_multi_engine);
+        let server = reservation.primary;
         let pace = self.pace(server);
         if let (Some(pace), Some(engine)) = (pace, self.engines.get_mut(&server)) {
             engine.progress.ended(pace, now);
         }
-        was_giant
+        was_multi_engine
     }
 
     /// Notes that a request is over, or looked at as if it were; gives what it has held, to be held again without the
     /// reading, which has been placed.
-    pub fn release(&mut self, id: HoldId, now: Time) -> Option<Hold> {
-        let hold = self.holds.remove(&id)?;
-        self.own_giants -= u32::from(hold.giant);
-        self.change(hold.first, now, |own| own.subtract(&hold.load));
-        for helper in &hold.helpers {
+    pub fn release(&mut self, id: ReservationId, now: Time) -> Option<Reservation> {
+        let reservation = self.reservations.remove(&id)?;
+        self.own_multi_engine_prompts -= u32::from(reservation.multi_engine);
+        self.change(reservation.primary, now, |own| {
+            own.subtract(&reservation.load)
+        });
+        for helper in &reservation.helpers {
             self.change(helper.server, now, |own| own.subtract(&helper.load));
         }
-        Some(hold.without_reading())
+        Some(reservation.without_reading())
     }
 
     /// Gives what is ahead of a prompt that is placed at a server now.
-    pub fn ahead(&mut self, server: Key, now: Time) -> Ahead {
+    pub fn backlog(&mut self, server: Key, now: Time) -> Backlog {
         let Some(pace) = self.pace(server) else {
-            return Ahead::default();
+            return Backlog::default();
         };
         let engine = self.engines.get_mut(&server);
-        engine.map_or(Ahead::default(), |engine| engine.progress.ahead(pace, now))
+        engine.map_or(Backlog::default(), |engine| {
+            engine.progress.backlog(pace, now)
+        })
     }
 
     /// Gives the length of a pass of an engine that reads nothing, in milliseconds, if it states its timing.
@@ -159,42 +163,42 @@
     }
 
     /// Gives the number of prompts being read that take up many engines, over all hosts.
-    pub fn giants(&self) -> u32 {
-        let others = self.peers.values().map(|peer| peer.giants);
-        others.fold(self.own_giants, u32::saturating_add)
+    pub fn multi_engine_prompts(&self) -> u32 {
+        let others = self.peers.values().map(|peer| peer.multi_engine_prompts);
+        others.fold(self.own_multi_engine_prompts, u32::saturating_add)
     }
 
     /// Gives this host's own number of prompts being read that take up many engines.
-    pub fn own_giants(&self) -> u32 {
-        self.own_giants
+    pub fn own_multi_engine_prompts(&self) -> u32 {
+        self.own_multi_engine_prompts
     }
 
     /// Takes a prompt into the line of those that wait.
-    pub fn line_up(&mut self, demand: Demand, now: Time) -> WaitId {
+    pub fn enqueue(&mut self, demand: Demand, now: Time) -> QueuedId {
         self.next += 1;
-        let id = WaitId(self.next);
-        self.own_line.insert(id, Entry::new(demand, now));
+        let id = QueuedId(self.next);
+        self.own_queue.insert(id, Entry::new(demand, now));
         id
     }
 
     /// Takes what a prompt in the line needs as it stands now; gives how many prompts go before it, over all hosts.
-    pub fn stand(&mut self, id: WaitId, demand: Demand, now: Time) -> u32 {
+    pub fn update_queued(&mut self, id: QueuedId, demand: Demand, now: Time) -> u32 {
         let own = Entry::new(demand, now);
-        self.own_line.insert(id, own);
-        let peers = self.peers.values().flat_map(|peer| &peer.line);
-        let line = self.own_line.values().chain(peers);
+        self.own_queue.insert(id, own);
+        let peers = self.peers.values().flat_map(|peer| &peer.queue);
+        let line = self.own_queue.values().chain(peers);
         let before = line.filter(|other| other.is_before(&own)).count();
         u32::try_from(before).unwrap_or(u32::MAX)
     }
 
     /// Takes a prompt out of the line.
-    pub fn leave_line(&mut self, id: WaitId) {
-        self.own_line.remove(&id);
+    pub fn dequeue(&mut self, id: QueuedId) {
+        self.own_queue.remove(&id);
     }
 
     /// Gives what this host's own prompts need that wait.
     pub fn waiting(&self, now: Time) -> Vec<Demand> {
-        let line = self.own_line.values().take(TOLD_WAITING);
+        let line = self.own_queue.values().take(TOLD_WAITING);
         line.map(|entry| entry.demand(now)).collect()
     }
 
@@ -222,7 +226,7 @@
     }
 
     /// Gives all that this host holds, and what it has placed lately.
-    pub fn whole(&self, now: Time) -> Vec<Holding> {
+    pub fn all_holdings(&self, now: Time) -> Vec<Holding> {
         let is_recent = |own: &Own| now.since(own.changed) < heartbeat::TOLD_FOR;
         let is_told = |own: &Own| !own.load.holds_nothing() || is_recent(own);
         let own = self.own.iter().filter(|(_, own)| is_told(own));
@@ -237,7 +241,7 @@
     /// Takes a peer's notice. One that is older than what is known is dropped.
     ///
     /// Returns whether the peer is new, or back in another lifetime.
-    pub fn hear(&mut self, notice: &Notice, now: Time) -> bool {
+    pub fn apply_notice(&mut self, notice: &Notice, now: Time) -> bool {
         let known = self.peers.get(&notice.host);
         if known.is_some_and(|peer| peer.knows(notice)) {
             return false;
@@ -245,7 +249,7 @@
         let newcomer = known.is_none_or(|peer| peer.incarnation < notice.incarnation);
         if newcomer {
             self.forget(&notice.host);
-        } else if notice.whole {
+        } else if notice.full {
             self.forget_loads(&notice.host);
         }
         self.domains.insert(notice.domain.clone(), now);
@@ -289,21 +293,21 @@
     }
 
     /// Says whether a failure domain seems cut off: its hosts were heard of before, and none is now.
-    pub fn is_cut_off(&self, domain: &str, now: Time) -> bool {
+    pub fn is_domain_silent(&self, domain: &str, now: Time) -> bool {
         self.domains
             .get(domain)
-            .is_some_and(|heard| now.since(*heard) > CUT_OFF)
+            .is_some_and(|heard| now.since(*heard) > DOMAIN_SILENCE_TIMEOUT)
     }
 
     /// Says whether all failure domains but the own one seem cut off, and there are such.
     pub fn is_isolated(&self, own_domain: &str, now: Time) -> bool {
         let others = self.domains.keys().filter(|name| ***name != *own_domain);
         let mut others = others.peekable();
-        others.peek().is_some() && others.all(|domain| self.is_cut_off(domain, now))
+        others.peek().is_some() && others.all(|domain| self.is_domain_silent(domain, now))
     }
 
     /// Gives the hosts that have kept to their heartbeats; `domain` is the own failure domain.
-    pub fn heard<'a>(
+    pub fn live_hosts<'a>(
         &'a self,
         domain: &'a Name,
         now: Time,
@@ -314,12 +318,12 @@
             name,
             domain: &peer.domain,
             near: peer.domain == *domain,
-            word: peer.word,
+            word: peer.store,
         })
     }
 
     /// Gives the number of hosts heard of, with this one.
-    pub fn hosts(&self) -> usize {
+    pub fn host_count(&self) -> usize {
         self.peers.len() + 1
     }
 
@@ -360,11 +364,11 @@
 
     /// Gives the pace of an engine's passes, if it states its timing.
     fn pace(&self, server: Key) -> Option<Pace> {
-        let figures = &self.engines.get(&server)?.figures;
+        let profile = &self.engines.get(&server)?.profile;
         let Load {
             running, memory, ..
         } = self.total(server);
-        Some(Pace::of(figures, running, memory))
+        Some(Pace::of(profile, running, memory))
     }
 
     /// Changes what this host holds at a server, and the sum there; peers are told of it.
--- a/crates/alderglade-core/src/fleet/book/load.rs
+++ b/crates/alderglade-core/src/fleet/load_table/load.rs
@@ -61,7 +61,7 @@
     }
 
     /// Gives the pause that answers of a class are sure to bear, in milliseconds.
-    pub fn bears(&self, class: PauseClass) -> f64 {
+    pub fn tolerated_ms(&self, class: PauseClass) -> f64 {
         self.0[class as usize]
     }
 }
--- a/crates/alderglade-core/src/fleet/book/notice.rs
+++ b/crates/alderglade-core/src/fleet/load_table/notice.rs
@@ -53,17 +53,17 @@
     /// The longest time until the sender's next notice, in milliseconds.
     pub interval_ms: u32,
     /// Whether `holdings` is all that the sender holds; otherwise it is what has changed.
-    pub whole: bool,
+    pub full: bool,
     /// Prompts that the sender is having read and that take up many engines at once.
-    pub giants: u32,
+    pub multi_engine_prompts: u32,
     /// Prompts that wait at the sender.
     pub waiting: Vec<Demand>,
     /// What the sender knows of the store.
-    pub word: Word,
+    pub store: Word,
     /// Servers that the sender knows to be leaving.
     pub leaving: Vec<Key>,
     /// Servers that refuse work or are slow, as the sender was told by servers.
-    pub passed_over: Vec<PassedOver>,
+    pub ejections: Vec<PassedOver>,
     /// Servers from which the sender's last answer is missing.
     pub unanswered: Vec<Key>,
     /// What the sender has seen of requests under which servers end.
@@ -87,11 +87,11 @@
     /// Says which hosts of other groups it concerns: those of the failure domain go by the word of a host that watches the
     /// store, those whose servers it names must know what is held there, and a request under which servers end may be sent
     /// by anybody.
-    pub fn concern(&self, groups: &Groups) -> Concern {
+    pub fn scope(&self, groups: &Groups) -> Concern {
         let elsewhere = self.elsewhere(groups);
         Concern {
             all: !self.quarantine.is_empty(),
-            domain: self.word.in_contact,
+            domain: self.store.in_contact,
             groups: elsewhere
                 .map(|holding| groups.of_server(holding.server))
                 .collect(),
@@ -101,8 +101,8 @@
     /// Gives what hosts of other groups are told: of what the sender holds, only what concerns their servers.
     pub fn for_other_groups(&self, groups: &Groups) -> Notice {
         Notice {
-            whole: false,
-            giants: 0,
+            full: false,
+            multi_engine_prompts: 0,
             waiting: Vec::new(),
             holdings: self.elsewhere(groups).cloned().collect(),
             ..self.clone()
--- a/crates/alderglade-core/src/fleet/book/peer.rs
+++ b/crates/alderglade-core/src/fleet/load_table/peer.rs
@@ -3,7 +3,7 @@
 //! The reading that a peer has placed is remembered apart from what it holds: a whole notice drops the
 //! holdings, and what was placed before it must not count as new work for the engine.
 
-use super::line::Entry;
+use super::queue::Entry;
 use super::{Holding, Load, Notice};
 use crate::Name;
 use crate::fleet::incarnation::Key;
@@ -31,11 +31,11 @@
     /// The longest time until its next notice.
     pub(super) interval: Duration,
     /// Prompts that it is having read and that take up many engines at once.
-    pub(super) giants: u32,
+    pub(super) multi_engine_prompts: u32,
     /// Prompts that wait there.
-    pub(super) line: Vec<Entry>,
+    pub(super) queue: Vec<Entry>,
     /// What it knows of the store.
-    pub(super) word: Word,
+    pub(super) store: Word,
     /// What it holds at each server.
     pub(super) loads: HashMap<Key, Load>,
     /// The reading that it has placed at each server, in microseconds.
@@ -51,9 +51,9 @@
             sequence: 0,
             heard: now,
             interval: notice.interval(),
-            giants: 0,
-            line: Vec::new(),
-            word: Word::default(),
+            multi_engine_prompts: 0,
+            queue: Vec::new(),
+            store: Word::default(),
             loads: HashMap::new(),
             placed: HashMap::new(),
         }
@@ -70,10 +70,10 @@
         self.sequence = notice.sequence;
         self.heard = now;
         self.interval = notice.interval();
-        self.giants = notice.giants;
+        self.multi_engine_prompts = notice.multi_engine_prompts;
         let waiting = notice.waiting.iter();
-        self.line = waiting.map(|demand| Entry::new(*demand, now)).collect();
-        self.word = notice.word;
+        self.queue = waiting.map(|demand| Entry::new(*demand, now)).collect();
+        self.store = notice.store;
     }
 
     /// Takes what it holds at a server; gives what it held there before.
--- a/crates/alderglade-core/src/fleet/book/line.rs
+++ b/crates/alderglade-core/src/fleet/load_table/queue.rs
@@ -15,7 +15,7 @@
 
 /// Names a prompt in the line of its host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct WaitId(pub(super) u64);
+pub struct QueuedId(pub(super) u64);
 
 /// What a prompt needs that waits, as hosts tell each other: relative to now, so that their clocks don't matter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/alderglade-core/src/fleet/book/hold.rs
+++ b/crates/alderglade-core/src/fleet/load_table/reservation.rs
@@ -5,20 +5,20 @@
 
 /// One request's part in the book, from its placement to its end.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Hold {
+pub struct Reservation {
     /// The server that answers.
-    pub first: Key,
+    pub primary: Key,
     /// What it takes there.
     pub load: Load,
     /// The servers that read parts of the prompt, and what it takes there.
     pub helpers: Vec<Part>,
     /// Whether it takes up many engines at once while it is read.
-    pub giant: bool,
+    pub multi_engine: bool,
 }
 
-impl Hold {
+impl Reservation {
     /// Leaves the reading out that it brings to its servers.
-    pub(super) fn without_reading(mut self) -> Hold {
+    pub(super) fn without_reading(mut self) -> Reservation {
         self.load.placed = 0;
         for helper in &mut self.helpers {
             helper.load.placed = 0;
@@ -36,6 +36,6 @@
     pub load: Load,
 }
 
-/// Names a [`Hold`].
+/// Names a [`Reservation`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct HoldId(pub(super) u64);
+pub struct ReservationId(pub(super) u64);
--- a/crates/alderglade-core/src/fleet/message.rs
+++ b/crates/alderglade-core/src/fleet/message.rs
@@ -2,9 +2,9 @@
 //!
 //! None of them is acknowledged or sent again: the next one makes good what was lost.
 
-use super::book::Notice;
 use super::config::Patch;
 use super::directory::Change;
+use super::load_table::Notice;
 use super::loan::{self, Loan};
 use super::position::Position;
 use super::rate_limit::{self, Grant};
--- a/crates/alderglade-core/src/fleet/mod.rs
+++ b/crates/alderglade-core/src/fleet/mod.rs
@@ -1,11 +1,10 @@
 //! Placement by every entry host on a shared view of the load, without homes that grant.
 //!
-//! Each entry host places its requests itself, on a [`book::Book`] of what every host holds at
+//! Each entry host places its requests itself, on a [`load_table::LoadTable`] of what every host holds at
 //! every backend server. Nothing waits for another host: a host that is stopped, killed or cut
 //! off makes the others' view less exact and never keeps them from serving.
 
 pub mod backoff;
-pub mod book;
 pub mod budget;
 pub mod caller;
 pub mod config;
@@ -20,6 +19,7 @@
 pub mod homes;
 pub mod incarnation;
 pub mod life;
+pub mod load_table;
 pub mod loan;
 pub mod message;
 pub mod pass;
--- a/crates/alderglade-core/src/fleet/pass.rs
+++ b/crates/alderglade-core/src/fleet/pass.rs
@@ -9,7 +9,7 @@
 
 /// Figures of a model engine. Times are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Figures {
+pub struct EngineProfile {
     /// Requests that write at once.
     pub slots: u32,
     /// Tokens that the engine's memory holds.
@@ -30,7 +30,7 @@
     pub stride: u32,
 }
 
-impl Figures {
+impl EngineProfile {
     /// Gives the time that reading a whole prompt takes, in milliseconds.
     pub fn read(&self, prompt: u64) -> f64 {
         let tokens = prompt as f64;
--- a/crates/alderglade-core/src/fleet/placement/chance.rs
+++ b/crates/alderglade-core/src/fleet/placement/chance.rs
@@ -5,12 +5,12 @@
 //! short prompts met another host's at their engine within 6 ms; of those that met none 2 in 100 were late, of those
 //! that met three 16, of those that met five 38. A little chance in what an engine costs parts them.
 
-use super::{Engine, MOST_PARTS, Work};
+use super::{Engine, MAX_PARTS, Work};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Gives the part of chance that an engine draws for a look, from `0.0` to below `1.0`; `0.0` where nobody else chooses.
 pub(super) fn share(work: &Work, engine: &Engine) -> f64 {
-    let Some(draw) = work.draw else {
+    let Some(draw) = work.random else {
         return 0.0;
     };
     let hash = xxh3_64_with_seed(&engine.id.number().to_le_bytes(), draw);
@@ -22,6 +22,6 @@
 /// read one long prompt, with one to spare. A long prompt finds no engines free of short answers where these are spread
 /// over all: with 18 engines parting cost up to 4 in 100 of all worth, with 150 it brought 2 in 100.
 pub(super) fn room(engines: usize) -> f64 {
-    let others = engines.saturating_sub(MOST_PARTS + 1) as f64;
+    let others = engines.saturating_sub(MAX_PARTS + 1) as f64;
     others / engines.max(1) as f64
 }
--- a/crates/alderglade-core/src/fleet/placement/cost.rs
+++ b/crates/alderglade-core/src/fleet/placement/cost.rs
@@ -2,7 +2,7 @@
 
 use super::timing::{first_event, millis, pause};
 use super::{Engine, Work};
-use crate::fleet::book::PauseClass;
+use crate::fleet::load_table::PauseClass;
 
 /// The part of an engine's places above which short prompts go to the next one. Where placements of other
 /// hosts are still on their way, the rest keeps prompts from waiting for a place.
@@ -14,7 +14,7 @@
 
 /// Gives the running answers at an engine above which short prompts go to the next one.
 pub(super) fn packed(engine: &Engine) -> f64 {
-    f64::from(engine.figures.slots) * PACKED
+    f64::from(engine.profile.slots) * PACKED
 }
 
 /// Gives the running answers at an engine from which on long prompts are answered elsewhere: those that it is packed
@@ -50,7 +50,7 @@
         .zip(engine.load.at_risk)
         .map(|(class, thousandths)| {
             let worth = thousandths as f64 / 1_000.0 * (1.0 - LATE_WORTH);
-            let bears = engine.pauses.bears(*class);
+            let bears = engine.pauses.tolerated_ms(*class);
             worth * (over(after, bears) - over(before, bears))
         })
         .sum()
@@ -60,7 +60,11 @@
 pub(super) fn slowness(engine: &Engine, part: f64) -> f64 {
     /// Worth of a millisecond; small beside any harm.
     const PER_MS: f64 = 1e-4;
-    let far = if engine.near { 0.0 } else { OTHER_DOMAIN };
+    let far = if engine.same_domain {
+        0.0
+    } else {
+        OTHER_DOMAIN
+    };
     PER_MS * (first_event(engine, part) + far)
 }
 
@@ -71,5 +75,5 @@
 
 /// Gives the chance that a prompt whose first event comes after this time misses its aim.
 pub(super) fn lateness(work: &Work, first_event: f64) -> f64 {
-    over(millis(work.waited) + first_event, millis(work.aim))
+    over(millis(work.waited) + first_event, millis(work.objective))
 }
--- a/crates/alderglade-core/src/fleet/placement/long.rs
+++ b/crates/alderglade-core/src/fleet/placement/long.rs
@@ -2,7 +2,7 @@
 //! lets the prompt wait.
 
 use super::parts::{self, Costed};
-use super::{Decision, Engine, MOST_PARTS, Reason, Shared, Wait, Work, patience, timing};
+use super::{Decision, Engine, MAX_PARTS, Reason, ServiceState, Wait, Work, patience, timing};
 use std::time::Duration;
 
 /// The reading time of one part that a long prompt is cut to, in milliseconds: a pause that most answers bear.
@@ -10,7 +10,7 @@
 /// How long a prompt is held before it is looked at again.
 const LOOK_AGAIN: Duration = Duration::from_millis(15);
 /// Engine counts that are tried for a prompt read in parts.
-const PART_COUNTS: [usize; 9] = [1, 2, 3, 4, 6, 8, 11, 14, MOST_PARTS];
+const PART_COUNTS: [usize; 9] = [1, 2, 3, 4, 6, 8, 11, 14, MAX_PARTS];
 /// When a caller should come back whose prompt is given up after it was held; callers come back after a third of
 /// their time at most, and the longer they stay away, the more has changed.
 const GIVEN_UP: Duration = Duration::from_millis(4_000);
@@ -18,10 +18,10 @@
 const TOO_LATE: Duration = Duration::from_millis(2_000);
 
 /// Chooses the engines of a long prompt, holds it back, or refuses it where its time is too short.
-pub(super) fn choose(work: &Work, usable: &[&Engine], state: &Shared) -> Decision {
+pub(super) fn choose(work: &Work, usable: &[&Engine], state: &ServiceState) -> Decision {
     let pool = sound(usable);
-    let whole = pool[0].figures.read(work.prompt);
-    let widest = ((whole / PART).ceil() as usize).clamp(1, pool.len().min(MOST_PARTS));
+    let whole = pool[0].profile.read(work.prompt);
+    let widest = ((whole / PART).ceil() as usize).clamp(1, pool.len().min(MAX_PARTS));
     let pool = others(work, pool, widest);
     let quickest = whole / widest as f64 + timing::idle_pass(pool[0]);
     let Some(costed) = cheapest(work, &pool, whole, widest, state.pressure) else {
@@ -39,7 +39,7 @@
         return Decision::Refuse(GIVEN_UP);
     }
     Decision::Wait(Wait {
-        look_again: LOOK_AGAIN,
+        recheck_after: LOOK_AGAIN,
         reason,
     })
 }
@@ -47,7 +47,7 @@
 /// Leaves out the engines at which the prompt has stood still before, where there are enough others.
 fn others<'a>(work: &Work, pool: Vec<&'a Engine>, enough: usize) -> Vec<&'a Engine> {
     let others = pool.iter().copied();
-    let others = others.filter(|engine| !work.stood_still.contains(&engine.id));
+    let others = others.filter(|engine| !work.stalled.contains(&engine.id));
     let others: Vec<&Engine> = others.collect();
     if others.len() >= enough { others } else { pool }
 }
@@ -57,7 +57,7 @@
     let sound: Vec<&Engine> = usable
         .iter()
         .copied()
-        .filter(|engine| !engine.doubted)
+        .filter(|engine| !engine.suspect)
         .collect();
     if sound.is_empty() {
         return usable.to_vec();
--- a/crates/alderglade-core/src/fleet/placement/mod.rs
+++ b/crates/alderglade-core/src/fleet/placement/mod.rs
@@ -24,16 +24,16 @@
 pub use demand::demand;
 pub use wait::{Reason, Wait};
 
-use super::book::{Load, Pauses};
 use super::incarnation::Key;
-use super::pass::Figures;
-use super::progress::Ahead;
+use super::load_table::{Load, Pauses};
+use super::pass::EngineProfile;
+use super::progress::Backlog;
 use std::time::Duration;
 
 /// The most engines that read one prompt: the one that answers and 16 helpers, as the engines allow.
-pub const MOST_PARTS: usize = 17;
+pub const MAX_PARTS: usize = 17;
 /// Prompts below this many tokens are short: they are read in one part and prefer quiet engines.
-pub const SHORT_PROMPT: u64 = 12_000;
+pub const SHORT_PROMPT_TOKENS: u64 = 12_000;
 /// When a caller should come back to a service that no engine serves.
 const NO_ENGINES: Duration = Duration::from_millis(1_000);
 
@@ -45,24 +45,24 @@
     /// The memory that it needs with its answer, in tokens.
     pub memory: u64,
     /// The time from its arrival to the first event that earns its full worth.
-    pub aim: Duration,
+    pub objective: Duration,
     /// The time from its arrival to the first event after which its caller leaves.
-    pub patience: Duration,
+    pub caller_timeout: Duration,
     /// How long it has waited.
     pub waited: Duration,
     /// How long its caller still waits.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Whether its caller was refused before and has come back.
-    pub came_back: bool,
+    pub is_retry: bool,
     /// What it is worth, where an ordinary short reply is worth about one.
     pub worth: f64,
     /// Servers that have failed it.
     pub avoid: Vec<Key>,
     /// Servers that read it together when nothing came of it: one of them may be sick, and nobody says which.
-    pub stood_still: Vec<Key>,
+    pub stalled: Vec<Key>,
     /// A number drawn by chance for this look, by which hosts that choose at the same moment choose differently; `None`
     /// where no other host chooses.
-    pub draw: Option<u64>,
+    pub random: Option<u64>,
 }
 
 /// An engine that could take it.
@@ -73,15 +73,15 @@
     /// What all hosts hold there.
     pub load: Load,
     /// What it does before it turns to a prompt that is placed now.
-    pub ahead: Ahead,
+    pub backlog: Backlog,
     /// Its timing.
-    pub figures: Figures,
+    pub profile: EngineProfile,
     /// The pauses that its answers bear.
     pub pauses: Pauses,
     /// Whether it is in the host's own failure domain.
-    pub near: bool,
+    pub same_domain: bool,
     /// Whether it should be passed over where others can serve.
-    pub doubted: bool,
+    pub suspect: bool,
 }
 
 /// Memory to be set aside at an engine.
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
     /// The engine that answers.
-    pub first: Key,
+    pub primary: Key,
     /// The others that read a part.
     pub helpers: Vec<Key>,
     /// Memory to be set aside before the prompt is sent; empty where it fits the first engine.
@@ -107,7 +107,7 @@
     /// When the first event is expected, counted from now.
     pub first_event: Duration,
     /// Whether it takes up many engines at once.
-    pub giant: bool,
+    pub multi_engine: bool,
 }
 
 /// What to do with a prompt now.
@@ -123,11 +123,11 @@
 
 /// What concerns all engines of a service together.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Shared {
+pub struct ServiceState {
     /// Prompts being read that take up many engines.
-    pub giants: u32,
+    pub multi_engine_prompts: u32,
     /// Waiting prompts that go before this one, over all hosts.
-    pub before: u32,
+    pub queued_before: u32,
     /// How much the engines have to read, from `0.0` (nothing) to `1.0` (all the time).
     pub pressure: f64,
     /// How many engines there are.
@@ -141,7 +141,7 @@
     if engines.is_empty() {
         return 0.0;
     }
-    let reading = engines.iter().map(|engine| engine.ahead.total());
+    let reading = engines.iter().map(|engine| engine.backlog.total());
     let mean = reading.sum::<f64>() / engines.len() as f64;
     (mean / FULL).min(1.0)
 }
@@ -158,12 +158,12 @@
 
 /// Chooses the engines for a prompt, given all engines of its service in a stable order and the
 /// state of the service as a whole.
-pub fn choose(work: &Work, engines: &[Engine], state: &Shared) -> Decision {
+pub fn choose(work: &Work, engines: &[Engine], state: &ServiceState) -> Decision {
     if engines.is_empty() {
         return Decision::Refuse(NO_ENGINES);
     }
     let usable = usable(work, engines);
-    if work.prompt < SHORT_PROMPT {
+    if work.prompt < SHORT_PROMPT_TOKENS {
         return short::choose(work, engines, &usable);
     }
     long::choose(work, &usable, state)
--- a/crates/alderglade-core/src/fleet/placement/parts.rs
+++ b/crates/alderglade-core/src/fleet/placement/parts.rs
@@ -2,12 +2,12 @@
 //! memory; and gives what that costs.
 
 use super::cost::{self, LATE_WORTH};
-use super::{Engine, MOST_PARTS, Plan, Share, Work, patience, timing};
+use super::{Engine, MAX_PARTS, Plan, Share, Work, patience, timing};
 use crate::fleet::incarnation::Key;
 
 /// A part longer than this takes up its engines for so long that few such prompts may be read at a
 /// time, in milliseconds: about the pause that short replies bear.
-const GIANT_PART: f64 = 190.0;
+const MULTI_ENGINE_PART: f64 = 190.0;
 /// First events come up to this much later than expected when other prompts follow.
 const MISS_FACTOR: f64 = 1.4;
 /// What it costs to be answered as late as the aim, as a part of the worth; prefers what is sooner.
@@ -49,12 +49,12 @@
     let first_event = first_event(chosen, part, pressure);
     let harmed: f64 = chosen.iter().map(|engine| cost::harm(engine, part)).sum();
     let plan = Plan {
-        first: first.id,
+        primary: first.id,
         helpers: helpers(chosen, first),
         shares,
         part,
         first_event: timing::span(first_event),
-        giant: part > GIANT_PART,
+        multi_engine: part > MULTI_ENGINE_PART,
     };
     Some(Costed {
         plan,
@@ -150,13 +150,13 @@
     let late = cost::lateness(work, first_event) * (1.0 - LATE_WORTH);
     let latest = patience::first_event_left(work).max(1.0);
     let missed = cost::over(first_event * MISS_FACTOR, latest) * LATE_WORTH;
-    work.worth * (late + missed + DELAY * first_event / timing::millis(work.aim))
+    work.worth * (late + missed + DELAY * first_event / timing::millis(work.objective))
 }
 
 /// Lists the engines that read a part and don't answer.
 fn helpers(chosen: &[&Engine], first: &Engine) -> Vec<Key> {
     let helpers = chosen.iter().filter(|engine| engine.id != first.id);
-    let helpers = helpers.take(MOST_PARTS - 1);
+    let helpers = helpers.take(MAX_PARTS - 1);
     helpers.map(|engine| engine.id).collect()
 }
 
--- a/crates/alderglade-core/src/fleet/placement/patience.rs
+++ b/crates/alderglade-core/src/fleet/placement/patience.rs
@@ -6,12 +6,12 @@
 use super::cost::{LATE_WORTH, lateness};
 use super::parts::Costed;
 use super::timing::millis;
-use super::{Plan, Reason, Shared, Work};
+use super::{Plan, Reason, ServiceState, Work};
 
 /// The part of the aim at which first events are planned; the rest is for estimates that are too low.
 pub(super) const PLANNED: f64 = 0.9;
 /// Prompts that take up many engines are read one for each so many engines at a time, over all hosts.
-const ENGINES_A_GIANT: usize = 9;
+const ENGINES_PER_MULTI_ENGINE_PROMPT: usize = 9;
 /// What a second of reading on one engine is worth to others when the engines read all the time; an
 /// ordinary long prompt is worth about eight for each second that reading it takes.
 const ENGINE_SECOND: f64 = 2.0;
@@ -25,11 +25,11 @@
     costed: &Costed,
     quickest: f64,
     whole: f64,
-    state: &Shared,
+    state: &ServiceState,
 ) -> Option<Reason> {
     let borne = borne(work, &costed.plan);
-    if costed.plan.giant && giants_are_full(state) && borne < 1.0 {
-        return Some(Reason::Giants);
+    if costed.plan.multi_engine && multi_engine_prompts_are_full(state) && borne < 1.0 {
+        return Some(Reason::MultiEngine);
     }
     if may_be_in_time_later(work, &costed.plan, quickest) {
         return Some(Reason::Busy);
@@ -40,9 +40,9 @@
 }
 
 /// Says whether as many prompts as may take up many engines at once are being read, or go before this one.
-fn giants_are_full(state: &Shared) -> bool {
-    let most = (state.engines / ENGINES_A_GIANT).max(1);
-    (state.giants + state.before) as usize >= most
+fn multi_engine_prompts_are_full(state: &ServiceState) -> bool {
+    let most = (state.engines / ENGINES_PER_MULTI_ENGINE_PROMPT).max(1);
+    (state.multi_engine_prompts + state.queued_before) as usize >= most
 }
 
 /// Says whether a prompt would be late by its best plan, and in time where the engines had nothing else to read.
@@ -63,10 +63,10 @@
     /// not be held in vain for half of it.
     const SECOND: f64 = 0.45;
     let waited = millis(work.waited);
-    if work.came_back {
-        return waited > SECOND * (waited + millis(work.left));
+    if work.is_retry {
+        return waited > SECOND * (waited + millis(work.time_left));
     }
-    waited > FIRST * millis(work.aim)
+    waited > FIRST * millis(work.objective)
 }
 
 /// Gives the cost that is borne for a prompt, as a part of its own worth: little while it can wait, much when
@@ -78,7 +78,7 @@
     const AT_LAST: f64 = 1.2;
     let first_event = millis(plan.first_event);
     let waited = millis(work.waited);
-    let in_time = millis(work.aim) * PLANNED - first_event;
+    let in_time = millis(work.objective) * PLANNED - first_event;
     let last_start = waited + first_event_left(work) - first_event;
     let spent = if waited < in_time {
         waited / in_time.max(1.0)
@@ -97,6 +97,6 @@
     const WRITING: f64 = 2_000.0;
     /// What is kept for estimates that are too low, in milliseconds.
     const MARGIN: f64 = 300.0;
-    let caller = millis(work.patience) - millis(work.waited);
-    caller.min(millis(work.left) - WRITING) - MARGIN
+    let caller = millis(work.caller_timeout) - millis(work.waited);
+    caller.min(millis(work.time_left) - WRITING) - MARGIN
 }
--- a/crates/alderglade-core/src/fleet/placement/short.rs
+++ b/crates/alderglade-core/src/fleet/placement/short.rs
@@ -33,18 +33,18 @@
     let Some(best) = best else {
         return Decision::Refuse(NO_CHOICE);
     };
-    let part = best.figures.read(work.prompt);
+    let part = best.profile.read(work.prompt);
     let first_event = timing::first_event(best, part);
-    if first_event > timing::millis(work.left) {
+    if first_event > timing::millis(work.time_left) {
         return Decision::Refuse(timing::span(first_event / 2.0));
     }
     Decision::Send(Plan {
-        first: best.id,
+        primary: best.id,
         helpers: Vec::new(),
         shares: Vec::new(),
         part,
         first_event: timing::span(first_event),
-        giant: false,
+        multi_engine: false,
     })
 }
 
@@ -85,9 +85,9 @@
     // An engine without answers would be quicker, but then it isn't free of them for long prompts: it
     // counts as if it were in the middle of a pass.
     let pass = timing::idle_pass(engine);
-    let rest = engine.ahead.rest.max(pass / 2.0);
-    let part = engine.figures.read(work.prompt);
-    let reading = engine.ahead.queued + part;
+    let rest = engine.backlog.rest.max(pass / 2.0);
+    let part = engine.profile.read(work.prompt);
+    let reading = engine.backlog.queued + part;
     let late = LATE * made_late(work, engine, part);
     let chance = CHANCE * candidate.apart * chance::share(work, engine);
     SOONER * (rest + pass + reading) + late + away + chance + burden(work, engine)
@@ -111,15 +111,15 @@
     const CROWDED: f64 = 80.0;
     let crowd = engine.load.running as f64 - cost::packed(engine);
     let mut burden = CROWDED * crowd.max(0.0);
-    let over = engine.load.running + 1 - i64::from(engine.figures.slots);
+    let over = engine.load.running + 1 - i64::from(engine.profile.slots);
     burden += NO_PLACE * over.max(0) as f64;
     if timing::free(engine) < work.memory as i64 {
         burden += NO_MEMORY;
     }
-    if engine.doubted {
+    if engine.suspect {
         burden += DOUBTED;
     }
-    if !engine.near {
+    if !engine.same_domain {
         burden += OTHER_DOMAIN;
     }
     burden
--- a/crates/alderglade-core/src/fleet/placement/timing.rs
+++ b/crates/alderglade-core/src/fleet/placement/timing.rs
@@ -9,26 +9,26 @@
 
 /// Gives the longest pause of the answers at an engine where a part of this length is read.
 pub(super) fn pause(engine: &Engine, part: f64) -> f64 {
-    idle_pass(engine) + engine.ahead.queued + part
+    idle_pass(engine) + engine.backlog.queued + part
 }
 
 /// Gives the time of a pass that reads nothing.
 pub(super) fn idle_pass(engine: &Engine) -> f64 {
     let running = engine.load.running.max(0) as u32;
     let context = engine.load.memory.max(0) as u64;
-    engine.figures.idle_pass(running, context)
+    engine.profile.idle_pass(running, context)
 }
 
 /// Gives the time to the first event of a prompt whose part takes `part`: the rest of the pass that is
 /// under way, then the one that reads what waits and the part itself.
 pub(super) fn first_event(engine: &Engine, part: f64) -> f64 {
     let steps = if engine.load.running > 0 { 1.0 } else { 0.5 };
-    engine.ahead.rest + steps * idle_pass(engine) + engine.ahead.queued + part
+    engine.backlog.rest + steps * idle_pass(engine) + engine.backlog.queued + part
 }
 
 /// Gives the memory that placements may still fill.
 pub(super) fn free(engine: &Engine) -> i64 {
-    let most = engine.figures.memory_tokens as f64 * FILL;
+    let most = engine.profile.memory_tokens as f64 * FILL;
     most as i64 - engine.load.memory
 }
 
--- a/crates/alderglade-core/src/fleet/placement/wait.rs
+++ b/crates/alderglade-core/src/fleet/placement/wait.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Wait {
     /// When to look again.
-    pub look_again: Duration,
+    pub recheck_after: Duration,
     /// Why it is held.
     pub reason: Reason,
 }
@@ -17,7 +17,7 @@
     /// No engines together have the memory free.
     Memory,
     /// As many prompts as may take up many engines at once are being read.
-    Giants,
+    MultiEngine,
     /// It would be late now, and may be in time when the engines have read what they have.
     Busy,
     /// Others would lose more by it than it gains.
@@ -29,7 +29,7 @@
     pub fn label(self) -> &'static str {
         match self {
             Reason::Memory => "memory",
-            Reason::Giants => "giants",
+            Reason::MultiEngine => "giants",
             Reason::Busy => "busy",
             Reason::Harm => "harm",
         }
--- a/crates/alderglade-core/src/fleet/progress.rs
+++ b/crates/alderglade-core/src/fleet/progress.rs
@@ -4,20 +4,20 @@
 //! answer there pauses until the pass ends. No engine says when that is, and hosts can't ask all the
 //! time; but every host hears of every placement, and the length of a pass follows from these.
 
-use super::pass::Figures;
+use super::pass::EngineProfile;
 use crate::time::Time;
 use std::time::Duration;
 
 /// What an engine still has to do before it turns to a prompt that is placed now, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Ahead {
+pub struct Backlog {
     /// The rest of the pass under way; `0.0` where the engine is at rest.
     pub rest: f64,
     /// The reading of prompts that the next pass begins with.
     pub queued: f64,
 }
 
-impl Ahead {
+impl Backlog {
     /// Gives all of it together.
     pub fn total(&self) -> f64 {
         self.rest + self.queued
@@ -35,11 +35,11 @@
 
 impl Pace {
     /// Gives the pace of an engine with this many answers and tokens of context.
-    pub fn of(figures: &Figures, running: i64, context: i64) -> Pace {
+    pub fn of(profile: &EngineProfile, running: i64, context: i64) -> Pace {
         let running = u32::try_from(running).unwrap_or(0);
         let context = u64::try_from(context).unwrap_or(0);
         Pace {
-            idle: figures.idle_pass(running, context),
+            idle: profile.idle_pass(running, context),
             writes: running > 0,
         }
     }
@@ -74,9 +74,9 @@
     }
 
     /// Gives what is ahead of a prompt that is placed now.
-    pub fn ahead(&mut self, pace: Pace, now: Time) -> Ahead {
+    pub fn backlog(&mut self, pace: Pace, now: Time) -> Backlog {
         self.roll(pace, now);
-        Ahead {
+        Backlog {
             rest: self.ends.left(now).as_secs_f64() * 1_000.0,
             queued: self.queued,
         }
--- a/crates/alderglade-core/tests/testsuite/fleet/caller.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/caller.rs
@@ -1,6 +1,6 @@
 //! How long callers wait, and servers may be silent.
 
-use alderglade_core::fleet::caller::{patience, silence};
+use alderglade_core::fleet::caller::{response_timeout, silence_timeout};
 use std::time::Duration;
 
 /// The kinds of streams on the users' sheets: aim, longest pause, and when their callers leave, in milliseconds.
@@ -12,11 +12,11 @@
 
 #[test]
 fn callers_wait_as_the_users_pages_say() {
-    for (aim, pause, leaves) in KINDS.map(|(a, b, c)| {
+    for (objective, pause, leaves) in KINDS.map(|(a, b, c)| {
         let millis = Duration::from_millis;
         (millis(a), millis(b), millis(c))
     }) {
-        assert_eq!(patience(aim, pause), leaves);
+        assert_eq!(response_timeout(objective, pause), leaves);
     }
 }
 
@@ -24,9 +24,9 @@
 /// another server could no longer begin before their callers left after two.
 #[test]
 fn another_server_has_time_to_begin_before_the_caller_leaves() {
-    let leaves = patience(Duration::from_millis(300), Duration::from_millis(250));
+    let leaves = response_timeout(Duration::from_millis(300), Duration::from_millis(250));
     let begins = Duration::from_millis(500);
-    assert!(silence(leaves) + begins < leaves);
+    assert!(silence_timeout(leaves) + begins < leaves);
     let waited = Duration::from_millis(900);
-    assert!(waited + silence(leaves - waited) < leaves);
+    assert!(waited + silence_timeout(leaves - waited) < leaves);
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/config.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/config.rs
@@ -16,7 +16,7 @@
         path_prefix: prefix.into(),
         kind: Kind::Idempotent,
         time_limit: Duration::from_secs(2),
-        aim: Duration::from_millis(300),
+        objective: Duration::from_millis(300),
         priority: 0,
         max_attempts: 2,
         public,
@@ -110,10 +110,10 @@
         resumable,
         longest_pause: Duration::from_millis(250),
     };
-    assert!(Kind::Idempotent.repeatable());
-    assert!(!Kind::NonIdempotent.repeatable());
-    assert!(stream(true).repeatable());
-    assert!(!stream(false).repeatable());
+    assert!(Kind::Idempotent.is_repeatable());
+    assert!(!Kind::NonIdempotent.is_repeatable());
+    assert!(stream(true).is_repeatable());
+    assert!(!stream(false).is_repeatable());
 }
 
 fn regions(u: &mut Unstructured<'_>) -> Result<Arc<[Name]>> {
@@ -159,7 +159,7 @@
         });
     }
     let limits = Limits {
-        body_bytes: u.int_in_range(1..=2)?,
+        max_body_bytes: u.int_in_range(1..=2)?,
         ..Limits::default()
     };
     Ok(Config::new(
--- a/crates/alderglade-core/tests/testsuite/fleet/group.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/group.rs
@@ -2,11 +2,11 @@
 
 use super::{empty_notice, server};
 use alderglade_core::Name;
-use alderglade_core::fleet::book::{Holding, Load};
 use alderglade_core::fleet::directory::Server;
 use alderglade_core::fleet::group::{Division, Group, Groups};
 use alderglade_core::fleet::heartbeat;
 use alderglade_core::fleet::incarnation::Key;
+use alderglade_core::fleet::load_table::{Holding, Load};
 use alderglade_core::fleet::quarantine::{Fact, Told};
 use alderglade_core::fleet::rate_limit;
 use alderglade_core::fleet::relay::{Neighbour, Own, Relay, Role, SETTLE, WATCHERS, Word};
@@ -276,9 +276,9 @@
         };
         bridges.iter().map(part).collect::<BTreeSet<_>>()
     };
-    assert!(reached(&notice.concern(&groups)).is_empty());
+    assert!(reached(&notice.scope(&groups)).is_empty());
     notice.holdings.push(holding);
-    let parts = reached(&notice.concern(&groups));
+    let parts = reached(&notice.scope(&groups));
     assert_eq!(parts.len(), DOMAINS);
     let of = groups.of_server(elsewhere[0]);
     assert!(parts.iter().all(|(group, _)| *group == of));
@@ -287,7 +287,7 @@
         asked: "000000000000000000000001".parse().expect("a digest"),
         fact: Fact::Sound { age_ms: 0 },
     });
-    let parts = reached(&notice.concern(&groups));
+    let parts = reached(&notice.scope(&groups));
     let groups_but_own = division.groups() as usize - 1;
     assert_eq!(parts.len(), groups_but_own * DOMAINS);
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/incarnation.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/incarnation.rs
@@ -1,13 +1,13 @@
 //! Backend servers that start again under their id, and entries that can't be read: over the life of one server, and
 //! over seeded schedules of several hosts whose knowledge is of different age.
 
-use super::{empty_notice, figures, hold, key};
+use super::{empty_notice, hold, key, profile};
 use crate::each_seed;
-use alderglade_core::fleet::book::{Book, Notice};
 use alderglade_core::fleet::directory::{Change, Directory, Listing, Server};
 use alderglade_core::fleet::faults::Fault;
 use alderglade_core::fleet::health::{Health, Outcome};
 use alderglade_core::fleet::incarnation::{Incarnation, Key};
+use alderglade_core::fleet::load_table::{LoadTable, Notice};
 use alderglade_core::time::Time;
 use arbtest::arbitrary::{Result, Unstructured};
 use std::collections::BTreeMap;
@@ -216,17 +216,20 @@
     assert!(!health.doubted(second, "north", Time(1)));
     assert_eq!(health.failing(second), 0.0);
 
-    let mut book = Book::default();
-    book.set_engines([(first, figures())].into());
+    let mut loads = LoadTable::default();
+    loads.set_engines([(first, profile())].into());
     let placed = hold("a", 900_000, 90_000);
-    let placed = alderglade_core::fleet::book::Hold { first, ..placed };
-    let id = book.hold(placed, Time(0));
-    book.set_engines([(second, figures())].into());
-    assert!(book.total(second).holds_nothing());
-    assert_eq!(book.ahead(second, Time(0)).total(), 0.0);
-    book.release(id, Time(0));
+    let placed = alderglade_core::fleet::load_table::Reservation {
+        primary: first,
+        ..placed
+    };
+    let id = loads.reserve(placed, Time(0));
+    loads.set_engines([(second, profile())].into());
+    assert!(loads.total(second).holds_nothing());
+    assert_eq!(loads.backlog(second, Time(0)).total(), 0.0);
+    loads.release(id, Time(0));
     assert!(
-        book.total(second).holds_nothing(),
+        loads.total(second).holds_nothing(),
         "nor when it is given back"
     );
 }
@@ -424,8 +427,8 @@
 fn the_load_of_a_lifetime_is_what_was_placed_in_it() {
     each_seed(120, |u| {
         let lives: Vec<Key> = (1..=4).map(|birth| born("a", birth).key()).collect();
-        let mut sender = Book::default();
-        let mut receiver = Book::default();
+        let mut sender = LoadTable::default();
+        let mut receiver = LoadTable::default();
         let mut sent: Vec<Notice> = Vec::new();
         let mut held = Vec::new();
         let mut running = [0; 4];
@@ -438,32 +441,32 @@
             } else {
                 let life = u.int_in_range(0..=3)?;
                 let mut placed = hold("a", 1_000, 10);
-                placed.first = lives[life];
-                held.push((life, sender.hold(placed, Time(0))));
+                placed.primary = lives[life];
+                held.push((life, sender.reserve(placed, Time(0))));
                 running[life] += 1;
             }
             let whole = u.ratio(1, 4)?;
             let holdings = if whole {
-                sender.whole(Time(0))
+                sender.all_holdings(Time(0))
             } else {
                 sender.take_changes()
             };
             sent.push(Notice {
-                whole,
+                full: whole,
                 holdings,
                 ..empty_notice("h", 1, sequence)
             });
             if u.ratio(2, 3)? {
                 let index = u.int_in_range(0..=sent.len() - 1)?;
-                receiver.hear(&sent[index], Time(0));
+                receiver.apply_notice(&sent[index], Time(0));
             }
         }
         let last = Notice {
-            whole: true,
-            holdings: sender.whole(Time(0)),
+            full: true,
+            holdings: sender.all_holdings(Time(0)),
             ..empty_notice("h", 1, 1_000)
         };
-        receiver.hear(&last, Time(0));
+        receiver.apply_notice(&last, Time(0));
         for (life, running) in lives.iter().zip(running) {
             assert_eq!(sender.total(*life).running, running);
             assert_eq!(receiver.total(*life).running, running);
--- a/crates/alderglade-core/tests/testsuite/fleet/mod.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/mod.rs
@@ -1,7 +1,6 @@
 //! Placement by every host on a shared load book.
 
 mod backoff;
-mod book;
 mod budget;
 mod caller;
 mod chance;
@@ -18,7 +17,7 @@
 mod homes;
 mod incarnation;
 mod life;
-mod line;
+mod load_table;
 mod loan;
 mod message;
 mod pass;
@@ -26,6 +25,7 @@
 mod placement;
 mod progress;
 mod quarantine;
+mod queue;
 mod rate_limit;
 mod reach;
 mod relay;
@@ -34,17 +34,17 @@
 mod spread;
 mod sse;
 
-use alderglade_core::fleet::book::{Hold, Load, Notice};
 use alderglade_core::fleet::directory::Server;
 use alderglade_core::fleet::evacuation::Told;
 use alderglade_core::fleet::incarnation::{Incarnation, Key};
-use alderglade_core::fleet::pass::Figures;
+use alderglade_core::fleet::load_table::{Load, Notice, Reservation};
+use alderglade_core::fleet::pass::EngineProfile;
 use alderglade_core::fleet::position::Position;
 use alderglade_core::fleet::relay::Word;
 
 /// The figures of the users' engines.
-fn figures() -> Figures {
-    Figures {
+fn profile() -> EngineProfile {
+    EngineProfile {
         slots: 16,
         memory_tokens: 232_000,
         step: 1.02,
@@ -83,12 +83,12 @@
         incarnation: Position::new(1, incarnation),
         sequence,
         interval_ms: 250,
-        whole: false,
-        giants: 0,
+        full: false,
+        multi_engine_prompts: 0,
         waiting: Vec::new(),
-        word: Word::default(),
+        store: Word::default(),
         leaving: Vec::new(),
-        passed_over: Vec::new(),
+        ejections: Vec::new(),
         unanswered: Vec::new(),
         quarantine: Vec::new(),
         limits: Vec::new(),
@@ -99,9 +99,9 @@
 }
 
 /// A request at one server; `reading` in microseconds.
-fn hold(server: &str, reading: u64, memory: i64) -> Hold {
-    Hold {
-        first: key(server),
+fn hold(server: &str, reading: u64, memory: i64) -> Reservation {
+    Reservation {
+        primary: key(server),
         load: Load {
             placed: reading,
             memory,
@@ -109,6 +109,6 @@
             at_risk: [1_300, 0, 0],
         },
         helpers: Vec::new(),
-        giant: false,
+        multi_engine: false,
     }
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/pass.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/pass.rs
@@ -1,6 +1,6 @@
 //! The timing of engines against the sums on the users' sheet.
 
-use super::figures;
+use super::profile;
 
 fn close(value: f64, expected: f64) {
     assert!((value - expected).abs() < 0.5, "{value} for {expected}");
@@ -8,16 +8,16 @@
 
 #[test]
 fn reading_grows_with_the_square_of_the_length() {
-    close(figures().read(4_960), 24.08 + 1.70);
-    close(figures().read(45_000), 218.4 + 139.7);
-    close(figures().read(600_000), 2_912.6 + 24_840.0);
+    close(profile().read(4_960), 24.08 + 1.70);
+    close(profile().read(45_000), 218.4 + 139.7);
+    close(profile().read(600_000), 2_912.6 + 24_840.0);
 }
 
 #[test]
 fn a_pass_takes_its_steps_with_writers_and_context() {
-    close(figures().idle_pass(0, 0), 43.0 * 1.02);
+    close(profile().idle_pass(0, 0), 43.0 * 1.02);
     close(
-        figures().idle_pass(10, 100_000),
+        profile().idle_pass(10, 100_000),
         43.0 * (1.02 + 0.0226 + 0.431),
     );
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/placement.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/placement.rs
@@ -1,18 +1,18 @@
 //! Choices of engines, on their own and over random loads.
 
-use super::{figures, key};
+use super::{key, profile};
 use crate::each_seed;
-use alderglade_core::fleet::book::{Load, Pauses};
 use alderglade_core::fleet::incarnation::Key;
+use alderglade_core::fleet::load_table::{Load, Pauses};
 use alderglade_core::fleet::placement::{
-    Decision, Engine, MOST_PARTS, Plan, Shared, Work, choose, pressure, worth,
+    Decision, Engine, MAX_PARTS, Plan, ServiceState, Work, choose, pressure, worth,
 };
-use alderglade_core::fleet::progress::Ahead;
+use alderglade_core::fleet::progress::Backlog;
 use std::time::Duration;
 
-const CALM: Shared = Shared {
-    giants: 0,
-    before: 0,
+const CALM: ServiceState = ServiceState {
+    multi_engine_prompts: 0,
+    queued_before: 0,
     pressure: 0.0,
     engines: 18,
 };
@@ -21,11 +21,11 @@
     let engine = |number: usize| Engine {
         id: key(&format!("e{number:02}")),
         load: Load::default(),
-        ahead: Ahead::default(),
-        figures: figures(),
+        backlog: Backlog::default(),
+        profile: profile(),
         pauses: Pauses::default(),
-        near: true,
-        doubted: false,
+        same_domain: true,
+        suspect: false,
     };
     (0..count).map(engine).collect()
 }
@@ -42,15 +42,15 @@
     Work {
         prompt: 5_000,
         memory: 6_400,
-        aim: Duration::from_millis(300),
-        patience: Duration::from_millis(2_000),
+        objective: Duration::from_millis(300),
+        caller_timeout: Duration::from_millis(2_000),
         waited: Duration::ZERO,
-        left: Duration::from_secs(10),
-        came_back: false,
+        time_left: Duration::from_secs(10),
+        is_retry: false,
         worth: worth(5_000),
         avoid: Vec::new(),
-        stood_still: Vec::new(),
-        draw: None,
+        stalled: Vec::new(),
+        random: None,
     }
 }
 
@@ -58,9 +58,9 @@
     Work {
         prompt,
         memory: prompt + 800,
-        aim: Duration::from_millis(2_500),
-        patience: Duration::from_millis(10_000),
-        left: Duration::from_secs(15),
+        objective: Duration::from_millis(2_500),
+        caller_timeout: Duration::from_millis(10_000),
+        time_left: Duration::from_secs(15),
         worth: worth(prompt),
         ..short()
     }
@@ -79,12 +79,12 @@
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..20 {
         let plan = plan(choose(&short(), &engines, &CALM));
-        let engine = engines.iter_mut().find(|engine| engine.id == plan.first);
+        let engine = engines.iter_mut().find(|engine| engine.id == plan.primary);
         let engine = engine.expect("a known engine");
         engine.load.running += 1;
         engine.load.memory += 6_400;
         engine.load.at_risk[0] += 1_300;
-        used.insert(plan.first);
+        used.insert(plan.primary);
     }
     assert!(used.len() <= 4, "{used:?}");
     assert!(used.contains(&key("e17")));
@@ -95,14 +95,14 @@
     let mut engines = engines(60);
     engines
         .iter_mut()
-        .for_each(|engine| engine.figures.slots = 12);
+        .for_each(|engine| engine.profile.slots = 12);
     for engine in &mut engines[30..] {
         engine.load.running = 10;
         engine.load.memory = 10 * 6_400;
         engine.load.at_risk[0] = 10 * 1_300;
     }
     let plan = plan(choose(&short(), &engines, &CALM));
-    assert_eq!(plan.first, key("e29"));
+    assert_eq!(plan.primary, key("e29"));
 }
 
 /// A short prompt is read beside replies where these bear the pause that comes of it, and elsewhere where their route allows a
@@ -113,9 +113,9 @@
         let mut engines = engines(2);
         engines[1].load.running = 3;
         engines[1].load.at_risk[0] = 3 * 1_300;
-        engines[1].ahead.queued = 100.0;
+        engines[1].backlog.queued = 100.0;
         engines[1].pauses = Pauses::of([Duration::from_millis(bears)].into_iter());
-        plan(choose(&short(), &engines, &CALM)).first
+        plan(choose(&short(), &engines, &CALM)).primary
     };
     assert_eq!(chosen(250), key("e01"));
     assert_eq!(chosen(200), key("e00"));
@@ -132,22 +132,22 @@
 #[test]
 fn a_short_prompt_that_is_in_time_waits_a_little_to_leave_another_engine_free() {
     let mut engines = engines_of_which_the_last_writes();
-    engines[17].ahead.rest = 50.0;
-    assert_eq!(plan(choose(&short(), &engines, &CALM)).first, key("e17"));
+    engines[17].backlog.rest = 50.0;
+    assert_eq!(plan(choose(&short(), &engines, &CALM)).primary, key("e17"));
 }
 
 #[test]
 fn a_short_prompt_keeps_off_an_engine_whose_answers_it_would_make_late() {
     let mut engines = engines_of_which_the_last_writes();
-    engines[17].ahead.queued = 120.0;
-    assert_ne!(plan(choose(&short(), &engines, &CALM)).first, key("e17"));
+    engines[17].backlog.queued = 120.0;
+    assert_ne!(plan(choose(&short(), &engines, &CALM)).primary, key("e17"));
 }
 
 #[test]
 fn a_short_prompt_keeps_off_an_engine_that_reads_long() {
     let mut engines = engines(4);
-    engines[3].ahead.rest = 400.0;
-    assert_ne!(plan(choose(&short(), &engines, &CALM)).first, key("e03"));
+    engines[3].backlog.rest = 400.0;
+    assert_ne!(plan(choose(&short(), &engines, &CALM)).primary, key("e03"));
 }
 
 #[test]
@@ -174,7 +174,7 @@
         engine.load.at_risk[0] = 3 * 1_300;
     }
     let plan = plan(choose(&long(45_000), &engines, &CALM));
-    assert!(*name(plan.first) >= *"e15", "{}", name(plan.first));
+    assert!(*name(plan.primary) >= *"e15", "{}", name(plan.primary));
     for helper in &plan.helpers {
         assert!(*name(*helper) < *"e15", "{}", name(*helper));
     }
@@ -186,10 +186,10 @@
     for engine in &mut engines[15..] {
         engine.load.running = 3;
         engine.load.at_risk[0] = 3 * 1_300;
-        engine.ahead.queued = 150.0;
+        engine.backlog.queued = 150.0;
     }
     let plan = plan(choose(&long(45_000), &engines, &CALM));
-    assert!(*name(plan.first) < *"e15", "{}", name(plan.first));
+    assert!(*name(plan.primary) < *"e15", "{}", name(plan.primary));
 }
 
 #[test]
@@ -210,13 +210,13 @@
     assert!(matches!(early, Decision::Wait(_)), "{early:?}");
     let mut work = long(500_000);
     work.waited = Duration::from_secs(9);
-    work.left = Duration::from_secs(6);
+    work.time_left = Duration::from_secs(6);
     let late = choose(&work, &engines, &CALM);
     assert!(matches!(late, Decision::Refuse(_)), "{late:?}");
 }
 
 #[test]
-fn a_giant_waits_while_others_would_pause_too_long() {
+fn a_multi_engine_prompt_waits_while_others_would_pause_too_long() {
     let decision = choose(&long(400_000), &crowded(), &CALM);
     assert!(matches!(decision, Decision::Wait(_)), "{decision:?}");
 }
@@ -233,7 +233,7 @@
 
 /// Who is told late has waited in vain and has less time to come back; who is told early is not served in time.
 #[test]
-fn a_giant_that_is_held_is_given_up_after_half_of_its_aim() {
+fn a_multi_engine_prompt_that_is_held_is_given_up_after_half_of_its_aim() {
     let mut work = long(400_000);
     work.waited = Duration::from_millis(1_200);
     let early = choose(&work, &crowded(), &CALM);
@@ -247,15 +247,15 @@
 }
 
 #[test]
-fn a_giant_whose_caller_has_come_back_is_held_for_less_than_half_of_its_time() {
+fn a_multi_engine_prompt_whose_caller_has_come_back_is_held_for_less_than_half_of_its_time() {
     let mut work = long(400_000);
-    work.came_back = true;
+    work.is_retry = true;
     work.waited = Duration::from_millis(4_000);
-    work.left = Duration::from_millis(6_000);
+    work.time_left = Duration::from_millis(6_000);
     let early = choose(&work, &crowded(), &CALM);
     assert!(matches!(early, Decision::Wait(_)), "{early:?}");
     work.waited = Duration::from_millis(4_600);
-    work.left = Duration::from_millis(5_400);
+    work.time_left = Duration::from_millis(5_400);
     let decision = choose(&work, &crowded(), &CALM);
     assert!(matches!(decision, Decision::Refuse(_)), "{decision:?}");
 }
@@ -266,26 +266,35 @@
 fn a_late_prompt_goes_as_soon_as_nobody_else_suffers() {
     let mut work = long(283_000);
     work.waited = Duration::from_secs(4);
-    work.left = Duration::from_secs(11);
+    work.time_left = Duration::from_secs(11);
     plan(choose(&work, &engines(18), &CALM));
 }
 
 #[test]
-fn two_giants_at_a_time_are_enough() {
-    let crowded = Shared { giants: 2, ..CALM };
+fn two_multi_engine_prompts_at_a_time_are_enough() {
+    let crowded = ServiceState {
+        multi_engine_prompts: 2,
+        ..CALM
+    };
     let decision = choose(&long(500_000), &engines(18), &crowded);
     assert!(matches!(decision, Decision::Wait(_)), "{decision:?}");
 }
 
 #[test]
-fn a_giant_waits_while_as_many_as_may_be_read_go_before_it() {
+fn a_multi_engine_prompt_waits_while_as_many_as_may_be_read_go_before_it() {
     let work = long(400_000);
-    let behind = Shared { before: 2, ..CALM };
+    let behind = ServiceState {
+        queued_before: 2,
+        ..CALM
+    };
     assert!(matches!(
         choose(&work, &engines(18), &behind),
         Decision::Wait(_)
     ));
-    let next = Shared { before: 1, ..CALM };
+    let next = ServiceState {
+        queued_before: 1,
+        ..CALM
+    };
     assert!(matches!(
         choose(&work, &engines(18), &next),
         Decision::Send(_)
@@ -293,9 +302,9 @@
 }
 
 #[test]
-fn more_engines_read_more_giants_at_a_time() {
-    let shared = |giants| Shared {
-        giants,
+fn more_engines_read_more_multi_engine_prompts_at_a_time() {
+    let shared = |multi_engine_prompts| ServiceState {
+        multi_engine_prompts: multi_engine_prompts,
         engines: 60,
         ..CALM
     };
@@ -309,7 +318,7 @@
     let engines = engines(3);
     let mut work = short();
     work.avoid = vec![key("e02")];
-    assert_ne!(plan(choose(&work, &engines, &CALM)).first, key("e02"));
+    assert_ne!(plan(choose(&work, &engines, &CALM)).primary, key("e02"));
     work.avoid = engines.iter().map(|engine| engine.id).collect();
     plan(choose(&work, &engines, &CALM));
 }
@@ -322,11 +331,11 @@
         let engines = engines(count);
         let mut work = long(120_000);
         let first = plan(choose(&work, &engines, &CALM));
-        work.stood_still = first.helpers.clone();
-        work.stood_still.push(first.first);
+        work.stalled = first.helpers.clone();
+        work.stalled.push(first.primary);
         let second = plan(choose(&work, &engines, &CALM));
-        let again = second.helpers.iter().chain([&second.first]);
-        let again = again.filter(|engine| work.stood_still.contains(engine));
+        let again = second.helpers.iter().chain([&second.primary]);
+        let again = again.filter(|engine| work.stalled.contains(engine));
         assert_eq!(again.count() == 0, others);
     }
 }
@@ -334,13 +343,13 @@
 #[test]
 fn doubted_engines_serve_where_there_is_no_other() {
     let mut engines = engines(3);
-    engines[2].doubted = true;
-    assert_ne!(plan(choose(&short(), &engines, &CALM)).first, key("e02"));
+    engines[2].suspect = true;
+    assert_ne!(plan(choose(&short(), &engines, &CALM)).primary, key("e02"));
     for engine in &mut engines {
-        engine.doubted = true;
+        engine.suspect = true;
     }
     let mut work = short();
-    work.left = Duration::from_secs(1);
+    work.time_left = Duration::from_secs(1);
     plan(choose(&work, &engines, &CALM));
 }
 
@@ -354,9 +363,9 @@
 fn pressure_is_the_mean_of_what_waits() {
     let mut engines = engines(2);
     assert_eq!(pressure(&engines), 0.0);
-    engines[0].ahead.queued = 120.0;
+    engines[0].backlog.queued = 120.0;
     assert!((pressure(&engines) - 0.5).abs() < 1e-9);
-    engines[1].ahead.rest = 9_000.0;
+    engines[1].backlog.rest = 9_000.0;
     assert_eq!(pressure(&engines), 1.0);
     assert_eq!(pressure(&[]), 0.0);
 }
@@ -369,16 +378,16 @@
         for engine in &mut engines {
             engine.load.running = u.int_in_range(0..=20)?;
             engine.load.memory = u.int_in_range(0..=230_000)?;
-            engine.ahead.rest = f64::from(u.int_in_range(0..=600u16)?);
-            engine.ahead.queued = f64::from(u.int_in_range(0..=900u16)?);
+            engine.backlog.rest = f64::from(u.int_in_range(0..=600u16)?);
+            engine.backlog.queued = f64::from(u.int_in_range(0..=900u16)?);
             engine.load.at_risk[u.int_in_range(0..=2)?] = u.int_in_range(0..=20_000)?;
-            engine.doubted = u.ratio(1, 10)?;
+            engine.suspect = u.ratio(1, 10)?;
         }
         let mut work = long(u.int_in_range(500..=900_000)?);
         work.waited = Duration::from_millis(u.int_in_range(0..=12_000)?);
-        let shared = Shared {
-            giants: u.int_in_range(0..=3)?,
-            before: u.int_in_range(0..=3)?,
+        let shared = ServiceState {
+            multi_engine_prompts: u.int_in_range(0..=3)?,
+            queued_before: u.int_in_range(0..=3)?,
             pressure: f64::from(u.int_in_range(0..=100u8)?) / 100.0,
             engines: engines.len(),
         };
@@ -391,8 +400,8 @@
 
 fn check(work: &Work, engines: &[Engine], plan: &Plan) {
     let mut named: Vec<&Key> = plan.helpers.iter().collect();
-    named.push(&plan.first);
-    assert!(named.len() <= MOST_PARTS);
+    named.push(&plan.primary);
+    assert!(named.len() <= MAX_PARTS);
     let count = named.len();
     named.sort();
     named.dedup();
@@ -401,7 +410,7 @@
         let engine = engines.iter().find(|engine| engine.id == share.server);
         let engine = engine.expect("a known engine");
         let after = engine.load.memory + share.tokens as i64;
-        assert!(after <= engine.figures.memory_tokens as i64);
+        assert!(after <= engine.profile.memory_tokens as i64);
     }
     let shared: u64 = plan.shares.iter().map(|share| share.tokens).sum();
     if !plan.shares.is_empty() {
@@ -419,7 +428,7 @@
     let mut engines = engines(150);
     engines
         .iter_mut()
-        .for_each(|engine| engine.figures.slots = 10);
+        .for_each(|engine| engine.profile.slots = 10);
     let mut placed: Vec<Key> = Vec::new();
     let mut met = 0;
     for number in 0..PLACED {
@@ -436,10 +445,10 @@
         hear(HEARD_AFTER, 1);
         hear(HEARD_AFTER + RUN, -1);
         let work = Work {
-            draw: chance.then_some(number as u64),
+            random: chance.then_some(number as u64),
             ..short()
         };
-        let id = plan(choose(&work, &engines, &CALM)).first;
+        let id = plan(choose(&work, &engines, &CALM)).primary;
         let unheard = number.saturating_sub(HEARD_AFTER - 1);
         met += u32::from(placed[unheard..].contains(&id));
         placed.push(id);
--- a/crates/alderglade-core/tests/testsuite/fleet/progress.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/progress.rs
@@ -1,6 +1,6 @@
 //! An engine's passes, as far as placements tell.
 
-use super::figures;
+use super::profile;
 use crate::each_seed;
 use alderglade_core::fleet::progress::{Pace, Progress};
 use alderglade_core::time::Time;
@@ -22,11 +22,11 @@
 #[test]
 fn an_engine_at_rest_begins_at_once() {
     let mut progress = Progress::default();
-    assert_eq!(progress.ahead(AT_REST, ms(900)).total(), 0.0);
+    assert_eq!(progress.backlog(AT_REST, ms(900)).total(), 0.0);
     progress.place(200.0, AT_REST, ms(1_000));
-    let ahead = progress.ahead(AT_REST, ms(1_050));
-    assert_eq!((ahead.rest, ahead.queued), (150.0, 0.0));
-    assert_eq!(progress.ahead(AT_REST, ms(1_300)).total(), 0.0);
+    let backlog = progress.backlog(AT_REST, ms(1_050));
+    assert_eq!((backlog.rest, backlog.queued), (150.0, 0.0));
+    assert_eq!(progress.backlog(AT_REST, ms(1_300)).total(), 0.0);
 }
 
 #[test]
@@ -35,23 +35,23 @@
     progress.place(200.0, AT_REST, ms(1_000));
     progress.place(100.0, AT_REST, ms(1_050));
     progress.place(300.0, AT_REST, ms(1_100));
-    let ahead = progress.ahead(AT_REST, ms(1_100));
-    assert_eq!((ahead.rest, ahead.queued), (100.0, 400.0));
-    let ahead = progress.ahead(AT_REST, ms(1_250));
-    assert_eq!((ahead.rest, ahead.queued), (350.0, 0.0));
+    let backlog = progress.backlog(AT_REST, ms(1_100));
+    assert_eq!((backlog.rest, backlog.queued), (100.0, 400.0));
+    let backlog = progress.backlog(AT_REST, ms(1_250));
+    assert_eq!((backlog.rest, backlog.queued), (350.0, 0.0));
 }
 
 #[test]
 fn a_pass_with_answers_takes_their_steps_too() {
     let mut progress = Progress::default();
     progress.place(200.0, WRITING, ms(1_000));
-    let ahead = progress.ahead(WRITING, ms(1_000));
+    let backlog = progress.backlog(WRITING, ms(1_000));
     // A pass was under way, of which nobody knows when it began.
-    assert!(ahead.rest > 0.0 && ahead.rest <= 50.0, "{ahead:?}");
-    assert_eq!(ahead.queued, 200.0);
-    let begun = ms(1_000) + Duration::from_secs_f64(ahead.rest / 1_000.0);
-    let ahead = progress.ahead(WRITING, begun);
-    assert_eq!((ahead.rest, ahead.queued), (250.0, 0.0));
+    assert!(backlog.rest > 0.0 && backlog.rest <= 50.0, "{backlog:?}");
+    assert_eq!(backlog.queued, 200.0);
+    let begun = ms(1_000) + Duration::from_secs_f64(backlog.rest / 1_000.0);
+    let backlog = progress.backlog(WRITING, begun);
+    assert_eq!((backlog.rest, backlog.queued), (250.0, 0.0));
 }
 
 #[test]
@@ -60,17 +60,17 @@
     progress.place(200.0, WRITING, ms(1_000));
     progress.place(100.0, WRITING, ms(1_000));
     progress.ended(WRITING, ms(1_010));
-    let ahead = progress.ahead(WRITING, ms(1_010));
-    assert_eq!((ahead.rest, ahead.queued), (350.0, 0.0));
+    let backlog = progress.backlog(WRITING, ms(1_010));
+    assert_eq!((backlog.rest, backlog.queued), (350.0, 0.0));
 }
 
 #[test]
 fn the_pace_is_that_of_the_answers() {
-    let pace = Pace::of(&figures(), 10, 100_000);
+    let pace = Pace::of(&profile(), 10, 100_000);
     assert!(pace.writes);
-    assert_eq!(pace.idle, figures().idle_pass(10, 100_000));
-    assert!(!Pace::of(&figures(), 0, 0).writes);
-    assert!(!Pace::of(&figures(), -1, -5).writes);
+    assert_eq!(pace.idle, profile().idle_pass(10, 100_000));
+    assert!(!Pace::of(&profile(), 0, 0).writes);
+    assert!(!Pace::of(&profile(), -1, -5).writes);
 }
 
 /// Against an engine that is played out step by step: all that was placed is read, no sooner than it
@@ -92,11 +92,11 @@
             } else {
                 queued += reading;
             }
-            let ahead = progress.ahead(AT_REST, Time(now));
+            let backlog = progress.backlog(AT_REST, Time(now));
             let differs =
                 |millis: f64, micros: u64| (millis - micros as f64 / 1_000.0).abs() > 1e-6;
-            assert!(!differs(ahead.rest, ends - now), "{ahead:?}");
-            assert!(!differs(ahead.queued, queued), "{ahead:?}");
+            assert!(!differs(backlog.rest, ends - now), "{backlog:?}");
+            assert!(!differs(backlog.queued, queued), "{backlog:?}");
         }
         Ok(())
     });
--- a/crates/alderglade-core/tests/testsuite/fleet/line.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/queue.rs
@@ -2,7 +2,7 @@
 
 use super::empty_notice;
 use crate::each_seed;
-use alderglade_core::fleet::book::{Book, Demand, Notice, WaitId};
+use alderglade_core::fleet::load_table::{Demand, LoadTable, Notice, QueuedId};
 use alderglade_core::time::Time;
 use std::collections::BTreeSet;
 
@@ -15,30 +15,30 @@
 /// A host with the prompts that wait there.
 struct Host {
     name: String,
-    book: Book,
+    loads: LoadTable,
     sequence: u64,
-    waiting: Vec<(WaitId, Demand)>,
+    waiting: Vec<(QueuedId, Demand)>,
 }
 
 impl Host {
     fn new(number: usize) -> Host {
         Host {
             name: format!("h{number}"),
-            book: Book::default(),
+            loads: LoadTable::default(),
             sequence: 0,
             waiting: Vec::new(),
         }
     }
 
-    fn line_up(&mut self, demand: Demand) {
-        let id = self.book.line_up(demand, NOW);
+    fn enqueue(&mut self, demand: Demand) {
+        let id = self.loads.enqueue(demand, NOW);
         self.waiting.push((id, demand));
     }
 
     fn notice(&mut self) -> Notice {
         self.sequence += 1;
         Notice {
-            waiting: self.book.waiting(NOW),
+            waiting: self.loads.waiting(NOW),
             ..empty_notice(&self.name, 1, self.sequence)
         }
     }
@@ -46,7 +46,7 @@
     /// Gives how many prompts go before each of the own ones.
     fn places(&mut self) -> Vec<u32> {
         let waiting = self.waiting.iter();
-        let places = waiting.map(|(id, demand)| self.book.stand(*id, *demand, NOW));
+        let places = waiting.map(|(id, demand)| self.loads.update_queued(*id, *demand, NOW));
         places.collect()
     }
 }
@@ -56,7 +56,7 @@
     for host in hosts {
         let others = notices.iter().filter(|notice| *notice.host != *host.name);
         for notice in others {
-            host.book.hear(notice, NOW);
+            host.loads.apply_notice(notice, NOW);
         }
     }
 }
@@ -72,7 +72,7 @@
         for due_ms in &due {
             let host = u.choose_index(hosts.len())?;
             let lost = u.ratio(1, 3)?;
-            hosts[host].line_up(demand(*due_ms, 4_000));
+            hosts[host].enqueue(demand(*due_ms, 4_000));
             if !lost {
                 tell_all(&mut hosts);
             }
@@ -88,17 +88,17 @@
 #[test]
 fn who_is_due_first_goes_first_and_of_two_the_one_that_is_read_sooner() {
     let mut host = Host::new(0);
-    host.line_up(demand(2_000, 4_000));
-    host.line_up(demand(500, 4_000));
-    host.line_up(demand(2_000, 20_000));
+    host.enqueue(demand(2_000, 4_000));
+    host.enqueue(demand(500, 4_000));
+    host.enqueue(demand(2_000, 20_000));
     assert_eq!(host.places(), [1, 0, 2]);
 }
 
 /// Two hosts that hear each other, with a prompt each; that of the first one is due sooner.
 fn two_that_wait() -> [Host; 2] {
     let mut hosts = [Host::new(0), Host::new(1)];
-    hosts[0].line_up(demand(100, 4_000));
-    hosts[1].line_up(demand(900, 4_000));
+    hosts[0].enqueue(demand(100, 4_000));
+    hosts[1].enqueue(demand(900, 4_000));
     tell_all(&mut hosts);
     hosts
 }
@@ -108,7 +108,7 @@
     let mut hosts = two_that_wait();
     assert_eq!(hosts[1].places(), [1]);
     let (id, _) = hosts[0].waiting[0];
-    hosts[0].book.leave_line(id);
+    hosts[0].loads.dequeue(id);
     tell_all(&mut hosts);
     assert_eq!(hosts[1].places(), [0]);
 }
@@ -117,7 +117,7 @@
 fn prompts_of_a_host_that_has_fallen_silent_hold_nobody_up() {
     let mut hosts = two_that_wait();
     let later = Time(NOW.0 + 2_000_000);
-    hosts[1].book.expire(later);
+    hosts[1].loads.expire(later);
     assert_eq!(hosts[1].places(), [0]);
 }
 
@@ -125,7 +125,7 @@
 fn a_long_line_is_told_in_part_and_stays_small() {
     let mut host = Host::new(0);
     for number in 0..500 {
-        host.line_up(demand(number, 4_000));
+        host.enqueue(demand(number, 4_000));
     }
     let told = host.notice().waiting;
     assert!(told.len() < 100, "{}", told.len());
--- a/crates/alderglade-core/tests/testsuite/fleet/restored.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/restored.rs
@@ -3,10 +3,10 @@
 
 use super::{empty_notice, server};
 use crate::each_seed;
-use alderglade_core::fleet::book::Book;
 use alderglade_core::fleet::directory::{Change, Directory, GRACE, Listing, STALE};
 use alderglade_core::fleet::fingerprint::{Content, Fingerprint};
 use alderglade_core::fleet::incarnation::Incarnation;
+use alderglade_core::fleet::load_table::LoadTable;
 use alderglade_core::fleet::position::Position;
 use alderglade_core::fleet::quarantine::{BARRED, Decision, Quarantine};
 use alderglade_core::time::Time;
@@ -140,18 +140,21 @@
 
 #[test]
 fn a_host_that_starts_in_a_later_era_is_not_taken_for_its_former_life() {
-    let mut book = Book::default();
+    let mut loads = LoadTable::default();
     let mut notice = empty_notice("h", 0, 900);
     notice.incarnation = Position::new(1, 700);
-    assert!(book.hear(&notice, Time(0)));
+    assert!(loads.apply_notice(&notice, Time(0)));
     notice.incarnation = Position::new(2, 500);
     notice.sequence = 1;
-    assert!(book.hear(&notice, Time(1)), "a new life");
+    assert!(loads.apply_notice(&notice, Time(1)), "a new life");
     notice.incarnation = Position::new(1, 700);
     notice.sequence = 901;
-    notice.giants = 3;
-    assert!(!book.hear(&notice, Time(2)), "late, of the former one");
-    assert_eq!(book.giants(), 0);
+    notice.multi_engine_prompts = 3;
+    assert!(
+        !loads.apply_notice(&notice, Time(2)),
+        "late, of the former one"
+    );
+    assert_eq!(loads.multi_engine_prompts(), 0);
 }
 
 fn asked(body: &str) -> Fingerprint {
--- a/crates/alderglade-core/tests/testsuite/fleet/spread.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/spread.rs
@@ -4,7 +4,7 @@
 use super::{empty_notice, hold, key};
 use crate::each_seed;
 use alderglade_core::Name;
-use alderglade_core::fleet::book::{Book, HoldId, Load, Notice};
+use alderglade_core::fleet::load_table::{Load, LoadTable, Notice, ReservationId};
 use alderglade_core::fleet::relay::{Neighbour, Word};
 use alderglade_core::fleet::spread::{Route, route};
 use alderglade_core::time::Time;
@@ -69,9 +69,9 @@
 struct Host {
     name: Name,
     domain: Name,
-    book: Book,
+    loads: LoadTable,
     sequence: u64,
-    held: Vec<HoldId>,
+    held: Vec<ReservationId>,
 }
 
 /// A deployment whose messages come at once or never.
@@ -90,7 +90,7 @@
         let host = |(name, domain)| Host {
             name,
             domain,
-            book: Book::default(),
+            loads: LoadTable::default(),
             sequence: 0,
             held: Vec::new(),
         };
@@ -126,7 +126,7 @@
         if is_dead || u.int_in_range(0..=99)? < self.lost {
             return Ok(false);
         }
-        self.hosts[to].book.hear(notice, now);
+        self.hosts[to].loads.apply_notice(notice, now);
         Ok(true)
     }
 
@@ -142,18 +142,18 @@
         let host = &mut self.hosts[from];
         host.sequence += 1;
         let holdings = if whole {
-            host.book.whole(now)
+            host.loads.all_holdings(now)
         } else {
-            host.book.take_changes()
+            host.loads.take_changes()
         };
         let notice = Notice {
             domain: host.domain.clone(),
-            whole,
+            full: whole,
             holdings,
             ..empty_notice(&host.name, 1, host.sequence)
         };
         let (own, domain) = (host.name.clone(), host.domain.clone());
-        let way = route(&own, beat, host.book.heard(&domain, now));
+        let way = route(&own, beat, host.loads.live_hosts(&domain, now));
         let direct = 0..self.hosts.len();
         let direct =
             direct.filter(|to| *to != from && !way.reached.contains(&self.hosts[*to].name));
@@ -166,7 +166,7 @@
                 continue;
             }
             let domain = self.hosts[through].domain.clone();
-            let near = self.hosts[through].book.heard(&domain, now);
+            let near = self.hosts[through].loads.live_hosts(&domain, now);
             let near: Vec<Name> = near
                 .filter(|host| host.near)
                 .map(|host| host.name.clone())
@@ -183,7 +183,7 @@
     fn view(&self, host: &Host) -> Load {
         Load {
             placed: 0,
-            ..host.book.total(key("e"))
+            ..host.loads.total(key("e"))
         }
     }
 }
@@ -203,9 +203,10 @@
             for host in 0..count {
                 let from = &mut fleet.hosts[host];
                 if u.ratio(1, 3)? {
-                    from.held.push(from.book.hold(hold("e", 1_000, 10), now));
+                    from.held
+                        .push(from.loads.reserve(hold("e", 1_000, 10), now));
                 } else if let Some(id) = from.held.pop() {
-                    from.book.release(id, now);
+                    from.loads.release(id, now);
                 }
                 fleet.tell(u, host, beat, beat % 4 == 0, now)?;
             }
@@ -223,7 +224,7 @@
                 if !is_dead {
                     fleet.tell(u, host, beat, beat % 4 == 0, now)?;
                 }
-                fleet.hosts[host].book.expire(now);
+                fleet.hosts[host].loads.expire(now);
             }
         }
         let living = fleet
@@ -248,7 +249,7 @@
             fleet.tell(u, host, 0, true, now)?;
         }
         fleet.crossed = 0;
-        fleet.hosts[7].book.hold(hold("e", 1_000, 10), now);
+        fleet.hosts[7].loads.reserve(hold("e", 1_000, 10), now);
         fleet.tell(u, 7, 1, false, now)?;
         assert_eq!(fleet.crossed, 4);
         for host in &fleet.hosts {
--- a/crates/alderglade-operator/src/command/explain/summary.rs
+++ b/crates/alderglade-operator/src/command/explain/summary.rs
@@ -4,7 +4,7 @@
 //! first: a thousand late short replies may weigh less than ten long prompts that were refused.
 
 use super::Line;
-use alderglade_core::fleet::placement::{self, LATE_WORTH, SHORT_PROMPT};
+use alderglade_core::fleet::placement::{self, LATE_WORTH, SHORT_PROMPT_TOKENS};
 use serde::Serialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -35,8 +35,8 @@
     fn of(prompt: u64) -> Length {
         match prompt {
             0 => Length::Plain,
-            1..SHORT_PROMPT => Length::Short,
-            SHORT_PROMPT..GIANT_PROMPT => Length::Long,
+            1..SHORT_PROMPT_TOKENS => Length::Short,
+            SHORT_PROMPT_TOKENS..GIANT_PROMPT => Length::Long,
             _ => Length::Giant,
         }
     }
--- a/crates/alderglade-serve/src/attempt.rs
+++ b/crates/alderglade-serve/src/attempt.rs
@@ -65,7 +65,7 @@
         helpers,
         last_event,
     };
-    let fresh = !job.route.kind.repeatable();
+    let fresh = !job.route.kind.is_repeatable();
     let request = outgoing(node, job, &dispatch);
     let sent = clock::now();
     let exchange = match node.client.send(server.address, request, fresh).await {
@@ -110,7 +110,7 @@
         Error::Lost { .. } => {
             node.note(server.key(), Outcome::Broken);
             // Others are told at once: they may be about to send there too.
-            node.book_changed.notify_one();
+            node.loads_changed.notify_one();
             broken_off(node, job, server, None).await;
             Miss::Lost
         }
--- a/crates/alderglade-serve/src/forward.rs
+++ b/crates/alderglade-serve/src/forward.rs
@@ -140,7 +140,7 @@
     let progress = in_flight.progress.clone();
     let ends = progress.arrived + asked.min(route.time_limit);
     let mut kept = Portion::new(&node.memory);
-    let body = read_body(body, config.limits.body_bytes, ends, &mut kept).await?;
+    let body = read_body(body, config.limits.max_body_bytes, ends, &mut kept).await?;
     // The body may have come long after its head: the host may stop by now.
     if !node.takes_requests() {
         return Err(Refusal::new(ErrorKind::Draining, ELSEWHERE));
--- a/crates/alderglade-serve/src/generate.rs
+++ b/crates/alderglade-serve/src/generate.rs
@@ -110,7 +110,7 @@
     /// Servers that read parts of it now, beside the one that answers.
     readers: Vec<Key>,
     /// Servers that read it together when nothing came of it.
-    pub stood_still: Vec<Key>,
+    pub stalled: Vec<Key>,
     /// Why it has been held back so far, which is written once for each reason.
     pub held_for: Vec<Reason>,
 }
@@ -225,8 +225,8 @@
 /// Takes up what a plan needs; gives `None` where its server is gone or the memory can't be set aside, and another
 /// plan must be made.
 async fn take_up(node: &Rc<Node>, job: &Job, plan: &Plan, tries: &mut Tries) -> Option<Placed> {
-    let Some(server) = node.server(plan.first) else {
-        tries.avoid.push(plan.first);
+    let Some(server) = node.server(plan.primary) else {
+        tries.avoid.push(plan.primary);
         return None;
     };
     let held = node.hold(take::hold(job, plan));
@@ -249,7 +249,7 @@
 fn silence(job: &Job, plan: &Plan) -> Duration {
     let late = plan.first_event * LATE_FACTOR + LATE;
     let patience = job.patience().saturating_sub(job.waited());
-    caller::silence(patience).min(late)
+    caller::silence_timeout(patience).min(late)
 }
 
 /// One send of a generation.
@@ -288,7 +288,7 @@
     } = attempt;
     let server = &placed.server;
     let sends_left = tries.are_left(job.route.max_attempts);
-    let more = sends_left && job.route.kind.repeatable();
+    let more = sends_left && job.route.kind.is_repeatable();
     let number = tries.all;
     let helpers = placed.helpers.clone();
     let answer = attempt::send(node, job, server, permit, helpers, last_event, number);
@@ -324,7 +324,7 @@
     let life = Life::new().send().lost();
     loop {
         let plan = place::place(node, job, tries, &life).await;
-        let other = plan.ok().filter(|plan| plan.first != silent.key());
+        let other = plan.ok().filter(|plan| plan.primary != silent.key());
         if let Some(plan) = other
             && let Ok(permit) = node.permit_plan(&plan).await
             && node.spend_repeat(&job.ask.id, &job.service).await
@@ -342,8 +342,8 @@
         attempt::note_silent(node, job, silent, tries.all, "silence");
     } else {
         attempt::tell(job, silent, tries.all, "silence");
-        tries.stood_still.push(silent.key());
-        tries.stood_still.append(&mut tries.readers);
+        tries.stalled.push(silent.key());
+        tries.stalled.append(&mut tries.readers);
     }
     tries.avoid.push(silent.key());
 }
@@ -425,7 +425,7 @@
     if job.left().is_zero() {
         return Err(life.refuse(ErrorKind::ExpiredWaiting, COME_BACK));
     }
-    let again = !life.may_have_run() || job.route.kind.repeatable();
+    let again = !life.may_have_run() || job.route.kind.is_repeatable();
     let sends_left = tries.are_left(job.route.max_attempts);
     if again && sends_left {
         return Ok(());
--- a/crates/alderglade-serve/src/generate/place.rs
+++ b/crates/alderglade-serve/src/generate/place.rs
@@ -7,8 +7,8 @@
 use crate::node::{Closing, InLine, Node};
 use alderglade_core::error::Kind as ErrorKind;
 use alderglade_core::fleet::life::{Life, Waiting};
-use alderglade_core::fleet::pass::Figures;
-use alderglade_core::fleet::placement::{self, Decision, Plan, Reason, Shared, Work};
+use alderglade_core::fleet::pass::EngineProfile;
+use alderglade_core::fleet::placement::{self, Decision, Plan, Reason, ServiceState, Work};
 use alderglade_core::request::Refusal;
 use rand::RngExt;
 use std::rc::Rc;
@@ -60,7 +60,7 @@
                 if let Some(line) = &mut line {
                     line.tell();
                 }
-                clock::sleep(wait.look_again).await;
+                clock::sleep(wait.recheck_after).await;
             }
         }
     }
@@ -72,13 +72,13 @@
         return;
     }
     tries.held_for.push(reason);
-    let giants = node.state.borrow().book.giants();
+    let multi_engine_prompts = node.state.borrow().loads.multi_engine_prompts();
     event::write(&Record::Held {
         id: &job.ask.id,
         reason: reason.label(),
         prompt: job.prompt().tokens,
         waited_ms: job.waited().as_millis() as u64,
-        giants,
+        giants: multi_engine_prompts,
         pressure: node.recent_pressure(),
     });
 }
@@ -91,37 +91,37 @@
     const LONGER: f64 = 1.5;
     let prompt = job.prompt();
     let most_out = match prompt.expected_out {
-        Some(expected) if job.route.kind.repeatable() => {
+        Some(expected) if job.route.kind.is_repeatable() => {
             prompt.most_out.min((expected as f64 * LONGER) as u64)
         }
         _ => prompt.most_out,
     };
-    let stride = figures(node, job).map_or(1, |figures| u64::from(figures.stride.max(1)));
+    let stride = profile(node, job).map_or(1, |profile| u64::from(profile.stride.max(1)));
     let strides = most_out / stride + 1;
     plan.first_event + STRIDE * u32::try_from(strides).unwrap_or(u32::MAX)
 }
 
 /// Gives the timing of the engines that serve a job, if its service states it.
-fn figures(node: &Node, job: &Job) -> Option<Figures> {
+fn profile(node: &Node, job: &Job) -> Option<EngineProfile> {
     let config = node.state.borrow().config.clone()?;
     config.service(&job.service)?.engine
 }
 
 /// Gives the decision on a prompt as things stand now. A long one takes its place in `line`.
 fn decide(node: &Rc<Node>, job: &Job, tries: &Tries, line: &mut Option<InLine>) -> Decision {
-    let Some(figures) = figures(node, job) else {
+    let Some(profile) = profile(node, job) else {
         return without_figures(node, job, tries);
     };
-    let work = work(job, tries, figures.stride);
-    let engines = node.engines(&job.service, figures, &job.homes);
-    let demand = placement::demand(&work, &figures, engines.len());
+    let work = work(job, tries, profile.stride);
+    let engines = node.engines(&job.service, profile, &job.homes);
+    let demand = placement::demand(&work, &profile, engines.len());
     let before = demand.map_or(0, |demand| {
         let place = line.get_or_insert_with(|| node.line_up(demand));
         place.stand(demand)
     });
-    let shared = Shared {
-        before,
-        giants: node.state.borrow().book.giants(),
+    let shared = ServiceState {
+        queued_before: before,
+        multi_engine_prompts: node.state.borrow().loads.multi_engine_prompts(),
         pressure: node.pressure(placement::pressure(&engines)),
         engines: engines.len(),
     };
@@ -133,12 +133,12 @@
     match node.pick(&job.service, &job.homes, &tries.avoid) {
         None => Decision::Refuse(COME_BACK),
         Some(server) => Decision::Send(Plan {
-            first: server.key(),
+            primary: server.key(),
             helpers: Vec::new(),
             shares: Vec::new(),
             part: 0.0,
-            first_event: job.route.aim,
-            giant: false,
+            first_event: job.route.objective,
+            multi_engine: false,
         }),
     }
 }
@@ -151,14 +151,14 @@
     Work {
         prompt: prompt.tokens,
         memory: prompt.tokens + out,
-        aim: job.route.aim,
-        patience: job.patience(),
+        objective: job.route.objective,
+        caller_timeout: job.patience(),
         waited: job.waited(),
-        left: job.left(),
-        came_back: job.came_back(),
+        time_left: job.left(),
+        is_retry: job.came_back(),
         worth: placement::worth(prompt.tokens),
         avoid: tries.avoid.clone(),
-        stood_still: tries.stood_still.clone(),
-        draw: Some(rand::rng().random()),
+        stalled: tries.stalled.clone(),
+        random: Some(rand::rng().random()),
     }
 }
--- a/crates/alderglade-serve/src/generate/take.rs
+++ b/crates/alderglade-serve/src/generate/take.rs
@@ -4,30 +4,30 @@
 use crate::node::Node;
 use crate::ticket::Tickets;
 use crate::translate::Helper;
-use alderglade_core::fleet::book::{Hold, Load, PAUSE_CLASSES, Part};
 use alderglade_core::fleet::incarnation::Key;
+use alderglade_core::fleet::load_table::{Load, PAUSE_CLASSES, Part, Reservation};
 use alderglade_core::fleet::placement::{self, Plan};
 
 /// Gives a plan's entry in the book: all that it takes at each engine.
-pub(super) fn hold(job: &Job, plan: &Plan) -> Hold {
+pub(super) fn hold(job: &Job, plan: &Plan) -> Reservation {
     let prompt = job.prompt();
     let reading = (plan.part * 1_000.0) as u64;
     let shared: u64 = plan.shares.iter().map(|share| share.tokens).sum();
     let memory = (prompt.tokens + prompt.likely_out()).saturating_sub(shared);
     let mut at_risk = [0; PAUSE_CLASSES];
     at_risk[job.pauses() as usize] = (placement::worth(prompt.tokens) * 1_000.0) as i64;
-    let own_share = share_at(plan, plan.first);
+    let own_share = share_at(plan, plan.primary);
     let load = Load {
         placed: reading,
         memory: memory as i64 + own_share,
         running: 1,
         at_risk,
     };
-    Hold {
-        first: plan.first,
+    Reservation {
+        primary: plan.primary,
         load,
         helpers: parts(plan, reading),
-        giant: plan.giant,
+        multi_engine: plan.multi_engine,
     }
 }
 
@@ -38,7 +38,7 @@
     let mut parts: Vec<Part> = Vec::new();
     for server in readers.chain(lenders) {
         let known = parts.iter().any(|part| part.server == *server);
-        if known || *server == plan.first {
+        if known || *server == plan.primary {
             continue;
         }
         let reads = plan.helpers.contains(server);
@@ -65,8 +65,8 @@
     let taken = tickets.map(Tickets::taken).unwrap_or_default();
     let mut list: Vec<Helper> = taken
         .iter()
-        .filter(|one| one.server.key() == plan.first)
-        .chain(taken.iter().filter(|one| one.server.key() != plan.first))
+        .filter(|one| one.server.key() == plan.primary)
+        .chain(taken.iter().filter(|one| one.server.key() != plan.primary))
         .map(|one| Helper {
             address: one.server.address,
             ticket: Some(one.name.clone()),
@@ -83,6 +83,6 @@
             });
         }
     }
-    list.truncate(placement::MOST_PARTS - 1);
+    list.truncate(placement::MAX_PARTS - 1);
     list
 }
--- a/crates/alderglade-serve/src/job.rs
+++ b/crates/alderglade-serve/src/job.rs
@@ -6,12 +6,12 @@
 use crate::translate::{Ask, Prompt};
 use alderglade_core::Name;
 use alderglade_core::error::Kind as ErrorKind;
-use alderglade_core::fleet::book::PauseClass;
 use alderglade_core::fleet::caller;
 use alderglade_core::fleet::config::Route;
 use alderglade_core::fleet::fingerprint::Fingerprint;
 use alderglade_core::fleet::homes::Homes;
 use alderglade_core::fleet::life::{Life, Waiting};
+use alderglade_core::fleet::load_table::PauseClass;
 use alderglade_core::request::Refusal;
 use alderglade_core::time::Time;
 use bytes::Bytes;
@@ -90,7 +90,10 @@
     /// Gives how long its caller waits for the first or the next event.
     pub fn patience(&self) -> Duration {
         let longest_pause = self.route.kind.longest_pause();
-        caller::patience(self.route.aim, longest_pause.unwrap_or(Duration::ZERO))
+        caller::response_timeout(
+            self.route.objective,
+            longest_pause.unwrap_or(Duration::ZERO),
+        )
     }
 
     /// Says whether its caller has probably asked before: it waits for less time than the route allows.
--- a/crates/alderglade-serve/src/listen.rs
+++ b/crates/alderglade-serve/src/listen.rs
@@ -69,8 +69,8 @@
         .config
         .as_ref()
         .map(|config| config.limits);
-    let idle = limits.map_or(UNKNOWN_IDLE, |limits| limits.idle);
-    let head = limits.map_or(SMALLEST_BUFFER, |limits| limits.header_bytes);
+    let idle = limits.map_or(UNKNOWN_IDLE, |limits| limits.idle_timeout);
+    let head = limits.map_or(SMALLEST_BUFFER, |limits| limits.max_header_bytes);
     let service_node = node.clone();
     let asked: Rc<Cell<bool>> = Rc::default();
     let has_asked = asked.clone();
--- a/crates/alderglade-serve/src/node.rs
+++ b/crates/alderglade-serve/src/node.rs
@@ -44,10 +44,10 @@
 use crate::settings::Settings;
 use crate::translate::Translator;
 use alderglade_core::Name;
-use alderglade_core::fleet::book::{Demand, Hold};
 use alderglade_core::fleet::directory::Server;
 use alderglade_core::fleet::health::Outcome;
 use alderglade_core::fleet::incarnation::Key;
+use alderglade_core::fleet::load_table::{Demand, Reservation};
 use alderglade_core::fleet::position::Position;
 use alderglade_core::fleet::quarantine::Verdict;
 use alderglade_core::time::Time;
@@ -84,7 +84,7 @@
     /// How much the engines have had to read lately.
     pressure: Cell<choice::Pressure>,
     /// Wakes whoever tells peers what has changed.
-    pub book_changed: Notify,
+    pub loads_changed: Notify,
     /// Wakes requests that wait for what a host that has just started must learn first.
     learnt: Notify,
     /// Messages for single hosts that have not been sent yet.
@@ -140,7 +140,7 @@
             began: clock::now(),
             store: Cell::default(),
             pressure: Cell::default(),
-            book_changed: Notify::new(),
+            loads_changed: Notify::new(),
             learnt: Notify::new(),
             letters: RefCell::default(),
             letters_written: Notify::new(),
@@ -211,15 +211,15 @@
     }
 
     /// Notes a placement in the book until the guard is dropped.
-    pub fn hold(self: &Rc<Node>, hold: Hold) -> Held {
-        let id = self.state.borrow_mut().book.hold(hold, clock::now());
-        self.book_changed.notify_one();
+    pub fn hold(self: &Rc<Node>, hold: Reservation) -> Held {
+        let id = self.state.borrow_mut().loads.reserve(hold, clock::now());
+        self.loads_changed.notify_one();
         Held::new(self.clone(), id)
     }
 
     /// Takes a prompt into the line of those that wait, until the guard is dropped.
     pub fn line_up(self: &Rc<Node>, demand: Demand) -> InLine {
-        let id = self.state.borrow_mut().book.line_up(demand, clock::now());
+        let id = self.state.borrow_mut().loads.enqueue(demand, clock::now());
         InLine::new(self.clone(), id)
     }
 
@@ -250,10 +250,10 @@
         let state = &mut *self.state.borrow_mut();
         let server = state.directory.at(address)?;
         let (key, slots) = (server.key(), i64::from(server.slots));
-        let may_be_full = key == asked.key() && state.book.total(key).running >= slots;
+        let may_be_full = key == asked.key() && state.loads.total(key).running >= slots;
         if !may_be_full {
             state.health.note_passed_over(key, clock::now());
-            self.book_changed.notify_one();
+            self.loads_changed.notify_one();
             event::write(&Record::ServerRefusing {
                 server: server.id(),
                 by: asked.id(),
@@ -284,7 +284,7 @@
         self.tick_quarantine();
         let mut state = self.state.borrow_mut();
         let dropped = state.directory.expire(now);
-        let silent = state.book.expire(now);
+        let silent = state.loads.expire(now);
         let taken_back = state.evacuations.expire(now);
         let joined = std::mem::take(&mut state.newcomers);
         self.set_gauges(&mut state, now);
@@ -308,7 +308,7 @@
         let passed_over = state.health.passed_over(now) as i64;
         metrics.passed_over.set(passed_over);
         metrics.limited.set(state.limits.count() as i64);
-        metrics.hosts.set(state.book.hosts() as i64);
+        metrics.hosts.set(state.loads.host_count() as i64);
         let age = state.freshness.age(now);
         let age = age.map_or(-1, |age| age.as_millis() as i64);
         metrics.store_age.set(age);
--- a/crates/alderglade-serve/src/node/catch_up.rs
+++ b/crates/alderglade-serve/src/node/catch_up.rs
@@ -61,7 +61,7 @@
     fn newer_configs(&self, now: Time) -> Vec<Source> {
         let state = self.state.borrow();
         let own = state.config_version();
-        let heard = state.book.heard(&self.settings.domain, now);
+        let heard = state.loads.live_hosts(&self.settings.domain, now);
         let newest = heard.clone().map(|host| host.word.config).max();
         let Some(newest) = newest.filter(|newest| *newest > own) else {
             return Vec::new();
--- a/crates/alderglade-serve/src/node/choice.rs
+++ b/crates/alderglade-serve/src/node/choice.rs
@@ -5,12 +5,12 @@
 use crate::clock;
 use alderglade_core::Name;
 use alderglade_core::error::Kind as ErrorKind;
-use alderglade_core::fleet::book::Book;
 use alderglade_core::fleet::directory::Server;
 use alderglade_core::fleet::health::Health;
 use alderglade_core::fleet::homes::Homes;
 use alderglade_core::fleet::incarnation::Key;
-use alderglade_core::fleet::pass::Figures;
+use alderglade_core::fleet::load_table::LoadTable;
+use alderglade_core::fleet::pass::EngineProfile;
 use alderglade_core::fleet::placement::Engine;
 use alderglade_core::time::Time;
 use rand::RngExt;
@@ -57,9 +57,15 @@
 
 /// Says whether a server should be passed over where others can serve: it has failed, or it lies in
 /// another failure domain that seems cut off from the own one.
-fn doubts(book: &Book, health: &Health, own_domain: &Name, server: &Server, now: Time) -> bool {
+fn doubts(
+    loads: &LoadTable,
+    health: &Health,
+    own_domain: &Name,
+    server: &Server,
+    now: Time,
+) -> bool {
     let elsewhere = server.domain != *own_domain;
-    let cut_off = elsewhere && book.is_cut_off(&server.domain, now);
+    let cut_off = elsewhere && loads.is_domain_silent(&server.domain, now);
     cut_off || health.doubted(server.key(), own_domain, now)
 }
 
@@ -103,13 +109,13 @@
 
     /// Gives the engines of a service that take something of this host now and at which a request with these homes may run, in
     /// the order of their ids.
-    pub fn engines(&self, service: &str, figures: Figures, homes: &Homes) -> Vec<Engine> {
+    pub fn engines(&self, service: &str, profile: EngineProfile, homes: &Homes) -> Vec<Engine> {
         let now = clock::now();
         let own_domain = &self.settings.domain;
         let mut state = self.state.borrow_mut();
         let State {
             directory,
-            book,
+            loads,
             health,
             pauses,
             backoffs,
@@ -127,12 +133,12 @@
             let key = server.key();
             Engine {
                 id: key,
-                load: book.total(key),
-                ahead: book.ahead(key, now),
-                figures,
+                load: loads.total(key),
+                backlog: loads.backlog(key, now),
+                profile,
                 pauses,
-                near: server.domain == *own_domain,
-                doubted: doubts(book, health, own_domain, server, now),
+                same_domain: server.domain == *own_domain,
+                suspect: doubts(loads, health, own_domain, server, now),
             }
         });
         engines.collect()
@@ -180,7 +186,7 @@
         let calls = state.calls.get(&key).copied().unwrap_or(0);
         let busy = f64::from(calls) / f64::from(server.slots.max(1));
         let far = FAR * one_if(server.domain != *domain);
-        let doubted = doubts(&state.book, &state.health, domain, server, now);
+        let doubted = doubts(&state.loads, &state.health, domain, server, now);
         let doubted = DOUBTED * one_if(doubted);
         let tried = TRIED * one_if(tried.contains(&key));
         busy + far + doubted + tried + state.health.failing(key)
--- a/crates/alderglade-serve/src/node/cold.rs
+++ b/crates/alderglade-serve/src/node/cold.rs
@@ -101,7 +101,7 @@
                 for_ms: span.as_millis() as u64,
             });
         }
-        self.book_changed.notify_one();
+        self.loads_changed.notify_one();
     }
 }
 
--- a/crates/alderglade-serve/src/node/evacuation.rs
+++ b/crates/alderglade-serve/src/node/evacuation.rs
@@ -49,6 +49,6 @@
             self.note_cold_domain(domain);
         }
         event::write(&Record::Evacuated { domains: &domains });
-        self.book_changed.notify_one();
+        self.loads_changed.notify_one();
     }
 }
--- a/crates/alderglade-serve/src/node/groups.rs
+++ b/crates/alderglade-serve/src/node/groups.rs
@@ -61,14 +61,14 @@
 
     /// Gives the most hosts that this one knows of: heard, listed, or told by hosts that watch the store.
     pub(super) fn known_hosts(&self) -> usize {
-        let known = self.book.hosts().max(self.hosts.len());
+        let known = self.loads.host_count().max(self.hosts.len());
         self.told_hosts.map_or(known, |told| known.max(told))
     }
 
     /// Takes the number of hosts that the store lists, by those of a failure domain that watch it. What they said last counts
     /// while none of them is heard.
     fn hear_listed(&mut self, domain: &Name, now: Time) {
-        let heard = self.book.heard(domain, now);
+        let heard = self.loads.live_hosts(domain, now);
         let watchers = heard.filter(|host| host.near && host.word.in_contact);
         let told = watchers.map(|host| host.word.hosts as usize).max();
         self.told_hosts = told.or(self.told_hosts);
@@ -81,7 +81,7 @@
         domain: &'a Name,
         now: Time,
     ) -> impl Iterator<Item = Neighbour<'a>> + Clone {
-        let heard = self.book.heard(domain, now);
+        let heard = self.loads.live_hosts(domain, now);
         heard.filter(move |other| self.groups.are_together(host, other.name))
     }
 }
--- a/crates/alderglade-serve/src/node/guard.rs
+++ b/crates/alderglade-serve/src/node/guard.rs
@@ -3,8 +3,8 @@
 
 use super::{Node, Progress};
 use crate::clock;
-use alderglade_core::fleet::book::{Demand, Hold, HoldId, WaitId};
 use alderglade_core::fleet::incarnation::Key;
+use alderglade_core::fleet::load_table::{Demand, QueuedId, Reservation, ReservationId};
 use std::rc::Rc;
 
 /// Counts a request in hand.
@@ -37,14 +37,14 @@
 /// Keeps a placement in the book.
 pub struct Held {
     node: Rc<Node>,
-    id: HoldId,
+    id: ReservationId,
     /// The placement while it is set aside.
-    aside: Option<Hold>,
+    aside: Option<Reservation>,
 }
 
 impl Held {
     /// Keeps a placement that was noted in the book.
-    pub(super) fn new(node: Rc<Node>, id: HoldId) -> Held {
+    pub(super) fn new(node: Rc<Node>, id: ReservationId) -> Held {
         Held {
             node,
             id,
@@ -64,25 +64,30 @@
         let Some(hold) = self.aside.take() else {
             return;
         };
-        self.id = self.node.state.borrow_mut().book.hold(hold, clock::now());
-        self.node.book_changed.notify_one();
+        self.id = self
+            .node
+            .state
+            .borrow_mut()
+            .loads
+            .reserve(hold, clock::now());
+        self.node.loads_changed.notify_one();
     }
 
-    fn release(&self) -> Option<Hold> {
+    fn release(&self) -> Option<Reservation> {
         let mut state = self.node.state.borrow_mut();
-        let hold = state.book.release(self.id, clock::now());
+        let hold = state.loads.release(self.id, clock::now());
         drop(state);
-        self.node.book_changed.notify_one();
+        self.node.loads_changed.notify_one();
         hold
     }
 
     /// Notes that the prompt has been read.
     pub fn read(&mut self) {
         let mut state = self.node.state.borrow_mut();
-        let tell = state.book.read(self.id, clock::now());
+        let tell = state.loads.mark_read(self.id, clock::now());
         drop(state);
         if tell {
-            self.node.book_changed.notify_one();
+            self.node.loads_changed.notify_one();
         }
     }
 }
@@ -98,14 +103,14 @@
 /// Keeps a prompt in the line of those that wait.
 pub struct InLine {
     node: Rc<Node>,
-    id: WaitId,
+    id: QueuedId,
     /// Whether peers know of it.
     told: bool,
 }
 
 impl InLine {
     /// Keeps a prompt that was taken into the line; peers are told only if it has to wait.
-    pub(super) fn new(node: Rc<Node>, id: WaitId) -> InLine {
+    pub(super) fn new(node: Rc<Node>, id: QueuedId) -> InLine {
         InLine {
             node,
             id,
@@ -116,22 +121,22 @@
     /// Takes what the prompt needs as it stands now; gives how many prompts go before it.
     pub fn stand(&self, demand: Demand) -> u32 {
         let mut state = self.node.state.borrow_mut();
-        state.book.stand(self.id, demand, clock::now())
+        state.loads.update_queued(self.id, demand, clock::now())
     }
 
     /// Has peers told that the prompt waits, the first time.
     pub fn tell(&mut self) {
         if !std::mem::replace(&mut self.told, true) {
-            self.node.book_changed.notify_one();
+            self.node.loads_changed.notify_one();
         }
     }
 }
 
 impl Drop for InLine {
     fn drop(&mut self) {
-        self.node.state.borrow_mut().book.leave_line(self.id);
+        self.node.state.borrow_mut().loads.dequeue(self.id);
         if self.told {
-            self.node.book_changed.notify_one();
+            self.node.loads_changed.notify_one();
         }
     }
 }
--- a/crates/alderglade-serve/src/node/outbox.rs
+++ b/crates/alderglade-serve/src/node/outbox.rs
@@ -6,9 +6,9 @@
 use super::{News, Node};
 use crate::clock;
 use alderglade_core::Name;
-use alderglade_core::fleet::book::Notice;
 use alderglade_core::fleet::config::{Config, Patch};
 use alderglade_core::fleet::directory::Change;
+use alderglade_core::fleet::load_table::Notice;
 use alderglade_core::fleet::message::{Host, Learnt, Message, Piece, Servers};
 use alderglade_core::fleet::pieces;
 use alderglade_core::fleet::position::Position;
@@ -100,7 +100,7 @@
         let mut state = self.state.borrow_mut();
         if state.watches_store() {
             state.new_hosts.push(host.clone());
-            self.book_changed.notify_one();
+            self.loads_changed.notify_one();
         }
     }
 
@@ -140,7 +140,7 @@
         notice: &Notice,
         beat: u64,
     ) -> Option<(Notice, Vec<SocketAddr>)> {
-        let concern = notice.concern(&self.state.borrow().groups);
+        let concern = notice.scope(&self.state.borrow().groups);
         let bridges = self.bridges(&concern, beat);
         let state = self.state.borrow();
         (!bridges.is_empty()).then(|| (notice.for_other_groups(&state.groups), bridges))
@@ -212,7 +212,7 @@
         state.directory.take_changes(after, &changes, position, now);
         drop(state);
         self.tell_servers();
-        self.book_changed.notify_one();
+        self.loads_changed.notify_one();
     }
 
     /// Takes a newer configuration from a peer that watches the store. One that applies to another version
--- a/crates/alderglade-serve/src/node/permit.rs
+++ b/crates/alderglade-serve/src/node/permit.rs
@@ -152,9 +152,9 @@
         let mut others: Vec<Key> = readers.chain(lenders).copied().collect();
         others.sort();
         others.dedup();
-        let others = others.into_iter().filter(|other| *other != plan.first);
+        let others = others.into_iter().filter(|other| *other != plan.primary);
         let others: Result<Vec<Claim>, Closed> = others.map(|other| self.claim(other)).collect();
-        let (others, first) = (others?, self.claim(plan.first)?);
+        let (others, first) = (others?, self.claim(plan.primary)?);
         for other in others {
             self.settle(other).await?;
         }
--- a/crates/alderglade-serve/src/node/quarantine.rs
+++ b/crates/alderglade-serve/src/node/quarantine.rs
@@ -31,7 +31,7 @@
     /// Notes that a server has ended.
     pub fn note_ended(&self, server: Key) {
         self.with_quarantine(|quarantine, now| quarantine.note_ended(server, now));
-        self.book_changed.notify_one();
+        self.loads_changed.notify_one();
     }
 
     /// Notes that a request was answered to its end.
@@ -111,7 +111,7 @@
             .borrow_mut()
             .extend(verdicts.into_iter().filter(kept));
         self.verdicts_made.notify_one();
-        self.book_changed.notify_one();
+        self.loads_changed.notify_one();
     }
 }
 
--- a/crates/alderglade-serve/src/node/reach.rs
+++ b/crates/alderglade-serve/src/node/reach.rs
@@ -26,11 +26,11 @@
     /// Gives what this host sees of its way to the store.
     fn sight(&self, state: &State, now: Time) -> Sight {
         let domain = &self.settings.domain;
-        let mut heard = state.book.heard(domain, now);
+        let mut heard = state.loads.live_hosts(domain, now);
         Sight {
             refused: self.store.get().is_lost(),
             informed: state.asks_store() || heard.any(|host| host.word.in_contact),
-            isolated: state.book.is_isolated(domain, now),
+            isolated: state.loads.is_isolated(domain, now),
             confirmed: state.freshness.confirmed(),
         }
     }
--- a/crates/alderglade-serve/src/node/relay.rs
+++ b/crates/alderglade-serve/src/node/relay.rs
@@ -39,7 +39,8 @@
     fn is_behind(&self) -> bool {
         let now = clock::now();
         let state = self.state.borrow();
-        let heard: Vec<Neighbour<'_>> = state.book.heard(&self.settings.domain, now).collect();
+        let heard: Vec<Neighbour<'_>> =
+            state.loads.live_hosts(&self.settings.domain, now).collect();
         relay::is_behind(&self.own(&state, now), &heard)
     }
 
@@ -54,7 +55,8 @@
         let chance = rand::rng().random::<f64>();
         let state = &mut *self.state.borrow_mut();
         let own = self.own(state, now);
-        let heard: Vec<Neighbour<'_>> = state.book.heard(&self.settings.domain, now).collect();
+        let heard: Vec<Neighbour<'_>> =
+            state.loads.live_hosts(&self.settings.domain, now).collect();
         let before = state.relay.role();
         let errand = state.relay.errand(topic, &own, &heard, chance, now);
         if state.relay.role() != before {
@@ -63,7 +65,7 @@
                 state.new_hosts = state.hosts.all();
             }
             // Peers judge its silence by what its last notice says, and watchers are heard more often.
-            self.book_changed.notify_one();
+            self.loads_changed.notify_one();
         }
         errand
     }
@@ -86,7 +88,7 @@
     /// Gives the longest time from one notice of this host to the next.
     pub fn heartbeat(&self) -> Duration {
         let state = self.state.borrow();
-        heartbeat::interval(state.book.hosts(), state.watches_store())
+        heartbeat::interval(state.loads.host_count(), state.watches_store())
     }
 
     /// Gives what this host tells its peers of the store.
@@ -114,7 +116,8 @@
         }
         let age = state.freshness.age(now);
         let old = lost || Relay::is_old(age, self.settings.revocation);
-        let heard: Vec<Neighbour<'_>> = state.book.heard(&self.settings.domain, now).collect();
+        let heard: Vec<Neighbour<'_>> =
+            state.loads.live_hosts(&self.settings.domain, now).collect();
         if old {
             let watchers = heard.iter().filter(|host| host.word.in_contact);
             let addresses = watchers.filter_map(|host| state.hosts.get(host.name));
--- a/crates/alderglade-serve/src/node/repeats.rs
+++ b/crates/alderglade-serve/src/node/repeats.rs
@@ -68,7 +68,7 @@
             return Vec::new();
         }
         let mut rng = rand::rng();
-        let heard = state.book.heard(&self.settings.domain, now);
+        let heard = state.loads.live_hosts(&self.settings.domain, now);
         let near = heard.clone().filter(|host| host.near);
         let near = near.sample(&mut rng, ASKED - 1);
         let any = heard.choose(&mut rng);
--- a/crates/alderglade-serve/src/node/state.rs
+++ b/crates/alderglade-serve/src/node/state.rs
@@ -6,7 +6,6 @@
 use crate::clock;
 use alderglade_core::Name;
 use alderglade_core::fleet::backoff::Backoffs;
-use alderglade_core::fleet::book::{Book, Pauses};
 use alderglade_core::fleet::budget::Budget;
 use alderglade_core::fleet::config::Config;
 use alderglade_core::fleet::directory::Directory;
@@ -16,6 +15,7 @@
 use alderglade_core::fleet::group::Groups;
 use alderglade_core::fleet::health::Health;
 use alderglade_core::fleet::incarnation::Key;
+use alderglade_core::fleet::load_table::{LoadTable, Pauses};
 use alderglade_core::fleet::loan::Questions;
 use alderglade_core::fleet::message::Learnt;
 use alderglade_core::fleet::pieces::Pieces;
@@ -38,7 +38,7 @@
     /// The failure domains that are evacuated.
     pub evacuations: Evacuations,
     /// What every host holds at every server.
-    pub book: Book,
+    pub loads: LoadTable,
     /// The pauses that the answers of each service of engines bear.
     pub(super) pauses: HashMap<Name, Pauses>,
     /// What was learnt of servers.
@@ -90,7 +90,7 @@
             config: None,
             directory: Directory::default(),
             evacuations: Evacuations::default(),
-            book: Book::default(),
+            loads: LoadTable::default(),
             pauses: HashMap::new(),
             health: Health::default(),
             quarantine: Quarantine::default(),
@@ -152,11 +152,11 @@
         };
         let services = config.services();
         let engines = services.filter_map(|service| Some((&service.name, service.engine?)));
-        let engines = engines.flat_map(|(name, figures)| {
+        let engines = engines.flat_map(|(name, profile)| {
             let servers = self.directory.of_service(name);
-            servers.map(move |server| (server.key(), figures))
+            servers.map(move |server| (server.key(), profile))
         });
-        self.book.set_engines(engines.collect());
+        self.loads.set_engines(engines.collect());
     }
 
     /// Gives how long a server takes nothing of this host.
--- a/crates/alderglade-serve/src/node/statement.rs
+++ b/crates/alderglade-serve/src/node/statement.rs
@@ -40,7 +40,7 @@
                 server: server.id(),
             });
             self.tell_servers();
-            self.book_changed.notify_one();
+            self.loads_changed.notify_one();
         }
     }
 
@@ -75,7 +75,7 @@
             state.limits.hear(key, rate, sent, clock::now())
         };
         if news {
-            self.book_changed.notify_one();
+            self.loads_changed.notify_one();
             self.note_limit(key);
         }
     }
--- a/crates/alderglade-serve/src/node/store.rs
+++ b/crates/alderglade-serve/src/node/store.rs
@@ -127,7 +127,7 @@
                 self.consultation.note_hosts();
                 self.regroup();
                 // The others hear of this host at once, and it of them.
-                self.book_changed.notify_one();
+                self.loads_changed.notify_one();
             }
             News::HostGone(name) => {
                 self.host_faults(|faults| faults.clear(&name));
@@ -200,7 +200,7 @@
         }
         self.tell_servers();
         self.tell_changes(after, position, changes);
-        self.book_changed.notify_one();
+        self.loads_changed.notify_one();
     }
 
     /// Takes a configuration, unless one as new is in force.
@@ -224,7 +224,7 @@
         self.metrics.config.set(version.cast_signed());
         self.learnt.notify_waiters();
         // Peers that go by this host's word learn at once that there is a newer one.
-        self.book_changed.notify_one();
+        self.loads_changed.notify_one();
         event::write(&Record::ConfigInForce { version, before });
     }
 
--- a/crates/alderglade-serve/src/peer.rs
+++ b/crates/alderglade-serve/src/peer.rs
@@ -49,7 +49,7 @@
 /// Tells peers what has changed as soon as it has, but for the time in which changes are collected.
 async fn tell_changes(node: Rc<Node>, teller: tell::Teller) {
     loop {
-        node.book_changed.notified().await;
+        node.loads_changed.notified().await;
         tokio::time::sleep(COLLECT).await;
         teller.changes().await;
         teller.outbox().await;
--- a/crates/alderglade-serve/src/peer/hear.rs
+++ b/crates/alderglade-serve/src/peer/hear.rs
@@ -3,7 +3,7 @@
 use super::{COLLECT, tell, tell_fault};
 use crate::clock;
 use crate::node::{Host, Node};
-use alderglade_core::fleet::book::Notice;
+use alderglade_core::fleet::load_table::Notice;
 use alderglade_core::fleet::loan::Request;
 use alderglade_core::fleet::message::{Ask, Learnt, Message, PassedOn};
 use alderglade_core::fleet::rate_limit;
@@ -72,7 +72,7 @@
     for server in &notice.leaving {
         state.directory.mark_leaving(*server, now);
     }
-    for told in &notice.passed_over {
+    for told in &notice.ejections {
         state.health.hear_passed_over(told, now);
     }
     let Notice {
@@ -82,7 +82,7 @@
         ..
     } = notice;
     state.health.hear_unanswered(host, domain, unanswered, now);
-    let joined = state.book.hear(notice, now);
+    let joined = state.loads.apply_notice(notice, now);
     if joined {
         state.newcomers.push(notice.host.clone());
         // A host that has just come may not stand in the store's list yet.
@@ -97,7 +97,7 @@
     node.hear_cold(&notice.cold);
     node.hear_evacuations(&notice.evacuations);
     node.hear_quarantine(&notice.quarantine);
-    node.take_word(&notice.word);
+    node.take_word(&notice.store);
 }
 
 /// Lends a peer a part of this host's budget of repeated sends.
--- a/crates/alderglade-serve/src/peer/tell.rs
+++ b/crates/alderglade-serve/src/peer/tell.rs
@@ -3,8 +3,8 @@
 use super::tell_fault;
 use crate::clock;
 use crate::node::{Node, Ways};
-use alderglade_core::fleet::book::{Holding, Notice};
 use alderglade_core::fleet::heartbeat::{Due, Schedule};
+use alderglade_core::fleet::load_table::{Holding, Notice};
 use alderglade_core::fleet::message::{Ask, Message};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -55,14 +55,14 @@
     async fn whole(&self) {
         let now = clock::now();
         self.schedule.borrow_mut().note(Due::Whole, now);
-        let holdings = self.node.state.borrow().book.whole(now);
+        let holdings = self.node.state.borrow().loads.all_holdings(now);
         self.notices(holdings, true).await;
     }
 
     /// Tells other hosts what has changed.
     pub(super) async fn changes(&self) {
         self.schedule.borrow_mut().note(Due::Changes, clock::now());
-        let holdings = self.node.state.borrow_mut().book.take_changes();
+        let holdings = self.node.state.borrow_mut().loads.take_changes();
         self.notices(holdings, false).await;
     }
 
@@ -130,12 +130,12 @@
             incarnation: self.node.incarnation.get(),
             sequence: self.sequence.get(),
             interval_ms: u32::try_from(interval.as_millis()).unwrap_or(u32::MAX),
-            whole,
-            giants: state.book.own_giants(),
-            waiting: state.book.waiting(clock::now()),
-            word,
+            full: whole,
+            multi_engine_prompts: state.loads.own_multi_engine_prompts(),
+            waiting: state.loads.waiting(clock::now()),
+            store: word,
             leaving: self.node.shared_leavers(state),
-            passed_over: state.health.told_passed_over(clock::now()),
+            ejections: state.health.told_passed_over(clock::now()),
             unanswered: state.health.told_unanswered(clock::now()),
             quarantine: state.quarantine.tell(whole, clock::now()),
             limits: state.limits.told(clock::now()),
--- a/crates/alderglade-serve/src/relay.rs
+++ b/crates/alderglade-serve/src/relay.rs
@@ -267,7 +267,7 @@
         }
         if part.began.is_none() {
             part.began = Some(clock::now());
-            part.silence = SILENCE.min(caller::silence(self.job.patience()));
+            part.silence = SILENCE.min(caller::silence_timeout(self.job.patience()));
             part.held.read();
             part.reading.end(&self.node);
         }
@@ -287,7 +287,7 @@
     /// Has the engine looked at where its pauses are those of a slow one.
     fn suspect(&self, part: &mut Part, pause: Duration) {
         let server = part.server.key();
-        let Some(idle_pass) = self.node.state.borrow().book.idle_pass(server) else {
+        let Some(idle_pass) = self.node.state.borrow().loads.idle_pass(server) else {
             return;
         };
         let pause = pause.as_secs_f64() * 1_000.0;
--- a/crates/alderglade-serve/src/relay/end.rs
+++ b/crates/alderglade-serve/src/relay/end.rs
@@ -46,7 +46,7 @@
         let first = first.since(self.job.arrived());
         let bears = self.job.route.kind.longest_pause();
         let steady = bears.is_none_or(|bears| self.longest_pause <= bears);
-        let in_time = first <= self.job.route.aim && steady;
+        let in_time = first <= self.job.route.objective && steady;
         let met = if in_time { "yes" } else { "no" };
         let metrics = &self.node.metrics;
         metrics.aims.with_label_values(&[met]).inc();
@@ -58,7 +58,7 @@
             took_ms: self.job.waited().as_millis() as u64,
             first_ms: first.as_millis() as u64,
             longest_pause_ms: self.longest_pause.as_millis() as u64,
-            aim_ms: self.job.route.aim.as_millis() as u64,
+            aim_ms: self.job.route.objective.as_millis() as u64,
             pause_aim_ms: bears.map(|bears| bears.as_millis() as u64),
         });
     }
--- a/crates/alderglade-serve/src/slowdown.rs
+++ b/crates/alderglade-serve/src/slowdown.rs
@@ -28,7 +28,7 @@
 impl Reading {
     /// Notes that a plan is carried out from now on.
     pub fn begin(plan: &Plan) -> Reading {
-        let first = std::iter::once(&plan.first);
+        let first = std::iter::once(&plan.primary);
         Reading {
             engines: first.chain(&plan.helpers).copied().collect(),
             began: clock::now(),
@@ -101,7 +101,7 @@
         let mut state = self.state.borrow_mut();
         state.health.note_passed_over(server, clock::now());
         drop(state);
-        self.book_changed.notify_one();
+        self.loads_changed.notify_one();
         event::write(&Record::ServerSlow {
             server: known.id(),
             slowdown,
--- a/crates/alderglade-serve/src/unary.rs
+++ b/crates/alderglade-serve/src/unary.rs
@@ -175,7 +175,7 @@
                     node.take_back_repeat(&job.service);
                 }
             }
-            Try::Missed(waiting) if waiting.may_have_run() && !job.route.kind.repeatable() => {
+            Try::Missed(waiting) if waiting.may_have_run() && !job.route.kind.is_repeatable() => {
                 return Err(waiting.refuse(ErrorKind::ContactLost, COME_BACK));
             }
             Try::Missed(waiting) => life = waiting,
@@ -246,7 +246,7 @@
     let _call = node.call(server.key());
     tell_placed(node, job, server, sends);
     job.progress.set_stage(Stage::Sent(server.id().clone()));
-    let more = sends < job.route.max_attempts && job.route.kind.repeatable();
+    let more = sends < job.route.max_attempts && job.route.kind.is_repeatable();
     let sent = life.send();
     let exchange = attempt::send(node, job, server, permit, Vec::new(), None, sends);
     let whole = async {
@@ -303,7 +303,7 @@
         helpers: 0,
         shares: 0,
         waited_ms: job.waited().as_millis() as u64,
-        expected_ms: job.route.aim.as_millis() as u64,
+        expected_ms: job.route.objective.as_millis() as u64,
         config: job.config,
         stopping_ms: node.stopping_ms(),
     });
@@ -357,7 +357,7 @@
 
 /// Says whether a server's failure may be tried again elsewhere.
 fn worth_repeating(job: &Job, response: &Response<Taken>) -> bool {
-    job.route.kind.repeatable() && response.status().is_server_error()
+    job.route.kind.is_repeatable() && response.status().is_server_error()
 }
 
 /// Writes down how an answer went and makes what the caller gets.
@@ -372,7 +372,7 @@
 
 fn tell_answered(node: &Node, job: &Job, status: StatusCode) {
     let took = clock::now().since(job.arrived());
-    let in_time = took <= job.route.aim && status.is_success();
+    let in_time = took <= job.route.objective && status.is_success();
     let met = if in_time { "yes" } else { "no" };
     node.metrics.aims.with_label_values(&[met]).inc();
     node.metrics.first.observe(took.as_secs_f64());
@@ -388,7 +388,7 @@
         took_ms: took.as_millis() as u64,
         first_ms: took.as_millis() as u64,
         longest_pause_ms: 0,
-        aim_ms: job.route.aim.as_millis() as u64,
+        aim_ms: job.route.objective.as_millis() as u64,
         pause_aim_ms: None,
     });
 }
--- a/crates/alderglade-serve/tests/testsuite/message.rs
+++ b/crates/alderglade-serve/tests/testsuite/message.rs
@@ -1,16 +1,16 @@
 //! What peers send, read and taken whatever it says: nothing ends the process, and one sound notice makes good what an
 //! absurd one has done.
 
-use alderglade_core::fleet::book::{Book, Demand, Hold, Holding, Load, Notice};
 use alderglade_core::fleet::config::Config;
 use alderglade_core::fleet::directory::Directory;
 use alderglade_core::fleet::evacuation::{self, Evacuations};
 use alderglade_core::fleet::fingerprint::Content;
 use alderglade_core::fleet::health::{Health, PassedOver};
 use alderglade_core::fleet::incarnation::Incarnation;
+use alderglade_core::fleet::load_table::{Demand, Holding, Load, LoadTable, Notice, Reservation};
 use alderglade_core::fleet::loan::Questions;
 use alderglade_core::fleet::message::{Learnt, Message};
-use alderglade_core::fleet::pass::Figures;
+use alderglade_core::fleet::pass::EngineProfile;
 use alderglade_core::fleet::position::Position;
 use alderglade_core::fleet::quarantine::{Fact, Quarantine, Told};
 use alderglade_core::fleet::rate_limit::{self, Limits, View, cold};
@@ -19,7 +19,7 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use std::time::Duration;
 
-const FIGURES: Figures = Figures {
+const FIGURES: EngineProfile = EngineProfile {
     slots: 10,
     memory_tokens: 232_000,
     step: 1.02,
@@ -33,7 +33,7 @@
 
 /// A host and all that messages change.
 struct Host {
-    book: Book,
+    loads: LoadTable,
     directory: Directory,
     health: Health,
     questions: Questions,
@@ -44,11 +44,11 @@
 
 impl Host {
     fn new() -> Host {
-        let mut book = Book::default();
+        let mut loads = LoadTable::default();
         let engines = (0..3).map(|number| (engine(number).key(), FIGURES));
-        book.set_engines(engines.collect());
+        loads.set_engines(engines.collect());
         Host {
-            book,
+            loads,
             directory: Directory::default(),
             health: Health::default(),
             questions: Questions::new(0),
@@ -96,7 +96,7 @@
         for server in &notice.leaving {
             self.directory.mark_leaving(*server, now);
         }
-        for told in &notice.passed_over {
+        for told in &notice.ejections {
             self.health.hear_passed_over(told, now);
         }
         for told in &notice.quarantine {
@@ -111,12 +111,12 @@
         }
         self.quarantine.judge(now);
         self.quarantine.expire(now);
-        self.book.hear(notice, now);
-        self.book.expire(now);
+        self.loads.apply_notice(notice, now);
+        self.loads.expire(now);
         for number in 0..3 {
-            self.book.ahead(engine(number).key(), now);
+            self.loads.backlog(engine(number).key(), now);
         }
-        self.book.giants();
+        self.loads.multi_engine_prompts();
     }
 }
 
@@ -208,12 +208,12 @@
         incarnation: Position::new(1, 1),
         sequence,
         interval_ms: u.arbitrary()?,
-        whole: u.arbitrary()?,
-        giants: u.arbitrary()?,
+        full: u.arbitrary()?,
+        multi_engine_prompts: u.arbitrary()?,
         waiting: vec![waiting],
-        word: Word::default(),
+        store: Word::default(),
         leaving: vec![engine(1).key()],
-        passed_over: vec![passed_over],
+        ejections: vec![passed_over],
         unanswered: vec![engine(2).key()],
         quarantine: vec![told(u)?],
         limits: vec![limit(u)?],
@@ -256,12 +256,12 @@
                 running: 1,
                 at_risk: [1_300, 0, 0],
             };
-            host.book.hold(
-                Hold {
-                    first: engine(0).key(),
+            host.loads.reserve(
+                Reservation {
+                    primary: engine(0).key(),
                     load: own,
                     helpers: Vec::new(),
-                    giant: false,
+                    multi_engine: false,
                 },
                 Time(0),
             );
@@ -271,21 +271,21 @@
                 now = now + Duration::from_millis(u.int_in_range(0..=300)?);
             }
             let sound = Notice {
-                whole: true,
+                full: true,
                 holdings: Vec::new(),
-                giants: 0,
+                multi_engine_prompts: 0,
                 ..notice(u, 1_000)?
             };
             host.hear(&sound, now);
-            let held = host.book.total(engine(0).key());
+            let held = host.loads.total(engine(0).key());
             assert_eq!(
                 (held.running, held.memory, held.at_risk),
                 (1, 100, own.at_risk)
             );
-            assert!(host.book.total(engine(1).key()).holds_nothing());
+            assert!(host.loads.total(engine(1).key()).holds_nothing());
             // A minute of reading is the most that one notice adds.
-            let ahead = host.book.ahead(engine(0).key(), now).total();
-            assert!(ahead < 9.0 * 60_000.0 + 1_000.0, "{ahead}");
+            let backlog = host.loads.backlog(engine(0).key(), now).total();
+            assert!(backlog < 9.0 * 60_000.0 + 1_000.0, "{backlog}");
             Ok(())
         })
         .seed((number << 32) | 4_096)
--- a/crates/alderglade-standin/src/slope.rs
+++ b/crates/alderglade-standin/src/slope.rs
@@ -4,11 +4,11 @@
 //! reading it costs nothing beside them.
 
 use alderglade_core::Name;
-use alderglade_core::fleet::book::{Book, Hold, Load, Notice, Pauses};
 use alderglade_core::fleet::evacuation;
 use alderglade_core::fleet::incarnation::{Incarnation, Key};
-use alderglade_core::fleet::pass::Figures;
-use alderglade_core::fleet::placement::{self, Engine, Shared, Work};
+use alderglade_core::fleet::load_table::{Load, LoadTable, Notice, Pauses, Reservation};
+use alderglade_core::fleet::pass::EngineProfile;
+use alderglade_core::fleet::placement::{self, Engine, ServiceState, Work};
 use alderglade_core::fleet::position::Position;
 use alderglade_core::fleet::relay::Word;
 use alderglade_core::time::Time;
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 
 /// Figures of an engine as the users' sheets state them.
-const FIGURES: Figures = Figures {
+const FIGURES: EngineProfile = EngineProfile {
     slots: 16,
     memory_tokens: 232_000,
     step: 1.02,
@@ -65,12 +65,12 @@
 ///
 /// Where a notice can't be written, which would be a fault of the codec.
 pub fn measure(size: Size, rounds: usize) -> Row {
-    let mut book = Book::default();
+    let mut loads = LoadTable::default();
     let engines = (0..size.engines).map(|number| (engine_key(number), FIGURES));
-    book.set_engines(engines.collect());
+    loads.set_engines(engines.collect());
     let mut others: Vec<Other> = (1..size.hosts).map(|host| Other::new(host, size)).collect();
     for other in &mut others {
-        book.hear(&other.notice(true), Time(0));
+        loads.apply_notice(&other.notice(true), Time(0));
     }
     let mut sender = Other::new(0, size);
     sender.notice(true);
@@ -86,15 +86,15 @@
         })
         .collect();
     let hear = each(rounds, |round| {
-        book.hear(&notices[round], Time(0));
+        loads.apply_notice(&notices[round], Time(0));
     });
     Row {
         size,
         change_bytes,
         whole_bytes,
         hear,
-        place_short: each(rounds, |_| place(&mut book, size, 5_000)),
-        place_long: each(rounds, |_| place(&mut book, size, 133_000)),
+        place_short: each(rounds, |_| place(&mut loads, size, 5_000)),
+        place_long: each(rounds, |_| place(&mut loads, size, 133_000)),
         entries: size.hosts * RUNNING.min(size.engines) + size.engines,
     }
 }
@@ -102,26 +102,26 @@
 /// A host whose notices are heard.
 struct Other {
     name: Name,
-    book: Book,
+    loads: LoadTable,
     sequence: u64,
 }
 
 impl Other {
     fn new(number: usize, size: Size) -> Other {
-        let mut book = Book::default();
+        let mut loads = LoadTable::default();
         for running in 0..RUNNING {
-            book.hold(hold(number * 7 + running * 5, size), Time(0));
+            loads.reserve(hold(number * 7 + running * 5, size), Time(0));
         }
         Other {
             name: format!("host-{number}").into(),
-            book,
+            loads,
             sequence: 0,
         }
     }
 
     fn change(&mut self, round: usize, size: Size) -> Notice {
-        self.book.take_changes();
-        self.book.hold(hold(round, size), Time(0));
+        self.loads.take_changes();
+        self.loads.reserve(hold(round, size), Time(0));
         self.notice(false)
     }
 
@@ -133,29 +133,29 @@
             incarnation: Position::new(1, 1),
             sequence: self.sequence,
             interval_ms: 1_000,
-            whole,
-            giants: 0,
+            full: whole,
+            multi_engine_prompts: 0,
             waiting: Vec::new(),
-            word: Word::default(),
+            store: Word::default(),
             leaving: Vec::new(),
-            passed_over: Vec::new(),
+            ejections: Vec::new(),
             unanswered: Vec::new(),
             quarantine: Vec::new(),
             limits: Vec::new(),
             cold: Vec::new(),
             evacuations: evacuation::Told::default(),
             holdings: if whole {
-                self.book.whole(Time(0))
+                self.loads.all_holdings(Time(0))
             } else {
-                self.book.take_changes()
+                self.loads.take_changes()
             },
         }
     }
 }
 
-fn hold(number: usize, size: Size) -> Hold {
-    Hold {
-        first: engine_key(number % size.engines),
+fn hold(number: usize, size: Size) -> Reservation {
+    Reservation {
+        primary: engine_key(number % size.engines),
         load: Load {
             placed: 25_000,
             memory: 6_000,
@@ -163,7 +163,7 @@
             at_risk: [1_300, 0, 0],
         },
         helpers: Vec::new(),
-        giant: false,
+        multi_engine: false,
     }
 }
 
@@ -171,23 +171,23 @@
     Incarnation::new(format!("i-{number:010}"), None).key()
 }
 
-fn place(book: &mut Book, size: Size, prompt: u64) {
+fn place(loads: &mut LoadTable, size: Size, prompt: u64) {
     let engine = |number: usize| {
         let id = engine_key(number);
         Engine {
-            load: book.total(id),
-            ahead: book.ahead(id, Time(0)),
+            load: loads.total(id),
+            backlog: loads.backlog(id, Time(0)),
             id,
-            figures: FIGURES,
+            profile: FIGURES,
             pauses: Pauses::default(),
-            near: number.is_multiple_of(3),
-            doubted: false,
+            same_domain: number.is_multiple_of(3),
+            suspect: false,
         }
     };
     let engines: Vec<Engine> = (0..size.engines).map(engine).collect();
-    let shared = Shared {
-        giants: 0,
-        before: 0,
+    let shared = ServiceState {
+        multi_engine_prompts: 0,
+        queued_before: 0,
         pressure: placement::pressure(&engines),
         engines: engines.len(),
     };
@@ -198,15 +198,15 @@
     Work {
         prompt,
         memory: prompt + 1_000,
-        aim: Duration::from_millis(2_500),
-        patience: Duration::from_millis(10_000),
+        objective: Duration::from_millis(2_500),
+        caller_timeout: Duration::from_millis(10_000),
         waited: Duration::ZERO,
-        came_back: false,
-        left: Duration::from_secs(15),
+        is_retry: false,
+        time_left: Duration::from_secs(15),
         worth: placement::worth(prompt),
         avoid: Vec::new(),
-        stood_still: Vec::new(),
-        draw: Some(prompt),
+        stalled: Vec::new(),
+        random: Some(prompt),
     }
 }
 
