--- a/crates/alderglade-core/src/fleet/budget.rs
+++ b/crates/alderglade-core/src/fleet/budget.rs
@@ -14,10 +14,10 @@
 use std::time::Duration;
 
 /// One repeated send, in the unit in which parts are counted and lent.
-pub const REPEAT: u32 = 1_000;
+pub const UNITS_PER_RETRY: u32 = 1_000;
 /// How long what is lent may be used, from when it was asked for. Loans are asked for when they are needed; a failure
 /// seldom comes alone, so that a rest finds its use.
-pub const LENT_FOR: Duration = Duration::from_millis(1_000);
+pub const LOAN_LIFETIME: Duration = Duration::from_millis(1_000);
 
 /// The part of the bound that hosts spend; the rest covers hosts that came or went in the window.
 const SPENT_PART: f64 = 0.6;
@@ -81,7 +81,7 @@
         if self.missing(now, hosts) > 0 {
             return false;
         }
-        let mut needed = REPEAT;
+        let mut needed = UNITS_PER_RETRY;
         while let Some(lent) = self.borrowed.front_mut().filter(|_| needed > 0) {
             let used = lent.part.min(needed);
             lent.part -= used;
@@ -102,16 +102,19 @@
 
     /// Gives what is missing for one repeated send.
     pub fn missing(&mut self, now: Time, hosts: usize) -> u32 {
-        let own = self.own_left(now, hosts);
+        let own = self.remaining(now, hosts);
         let borrowed = self.borrowed.iter().map(|lent| lent.part);
         let left = borrowed.fold(own, u32::saturating_add);
-        REPEAT.saturating_sub(left)
+        UNITS_PER_RETRY.saturating_sub(left)
     }
 
     /// Takes back the last repeated send that was spent, since it reached no server. Where a part of it was borrowed it is
     /// lost: its lender counts it for just as long as it might have been used.
-    pub fn take_back(&mut self) {
-        let last = self.spent.back().filter(|last| last.part == REPEAT);
+    pub fn refund(&mut self) {
+        let last = self
+            .spent
+            .back()
+            .filter(|last| last.part == UNITS_PER_RETRY);
         if last.is_some() {
             self.spent.pop_back();
         }
@@ -119,10 +122,10 @@
 
     /// Lends another host as much as it asks for, if that is left; gives how much.
     pub fn lend(&mut self, asked: u32, now: Time, hosts: usize) -> u32 {
-        let part = self.own_left(now, hosts).min(asked).min(REPEAT);
+        let part = self.remaining(now, hosts).min(asked).min(UNITS_PER_RETRY);
         if part > 0 {
-            // It is used later than now, but before `LENT_FOR` is over, and counts for a window from then on.
-            let until = now + LENT_FOR + self.bound.window;
+            // It is used later than now, but before `LOAN_LIFETIME` is over, and counts for a window from then on.
+            let until = now + LOAN_LIFETIME + self.bound.window;
             self.lent.push_back(Amount { part, until });
         }
         part
@@ -134,9 +137,9 @@
     }
 
     /// Gives what is left of the host's own part, in thousandths of a repeat.
-    pub fn own_left(&mut self, now: Time, hosts: usize) -> u32 {
+    pub fn remaining(&mut self, now: Time, hosts: usize) -> u32 {
         self.trim(now);
-        let has_started = now.since(self.began) <= self.bound.window + LENT_FOR;
+        let has_started = now.since(self.began) <= self.bound.window + LOAN_LIFETIME;
         let part = if has_started {
             SPENT_AT_START
         } else {
@@ -144,7 +147,7 @@
         };
         let slack = self.bound.slack / hosts.max(1) as f64;
         let earned = self.bound.ratio * self.requests.len() as f64;
-        let most = part * (slack + earned) * f64::from(REPEAT);
+        let most = part * (slack + earned) * f64::from(UNITS_PER_RETRY);
         let gone = self.spent.iter().chain(&self.lent);
         let gone = gone.map(|amount| amount.part);
         // Casting from floats saturates.
--- a/crates/alderglade-core/src/fleet/directory.rs
+++ b/crates/alderglade-core/src/fleet/directory.rs
@@ -7,7 +7,7 @@
 //! nothing, and that an older one was leaving doesn't concern the new one.
 //!
 //! The store may come back from a copy some seconds old. What servers have written since is missing for [`GRACE`], and
-//! servers that have gone stand there again: these are held back until they write, or have outlasted [`STALE`].
+//! servers that have gone stand there again: these are held back until they write, or have outlasted [`STALE_ENTRY_HOLD`].
 //!
 //! New work goes to no server of a failure domain that is evacuated. That is no property of the server: the digest by which
 //! hosts compare what they know of the servers leaves it out.
@@ -33,11 +33,11 @@
 
 /// How long an entry that lapsed while the store was away may take to come back; the users say
 /// about two seconds.
-pub const GRACE: Duration = Duration::from_millis(2_000);
+pub const STORE_RETURN_GRACE: Duration = Duration::from_millis(2_000);
 
 /// How long a server that has gone is held back where it stands in a copy of the store: the platform drops the entry of
 /// one that is silent after three heartbeats of 1.2 s, so that whose entry still stands after five of them writes it.
-pub const STALE: Duration = Duration::from_millis(6_000);
+pub const STALE_ENTRY_HOLD: Duration = Duration::from_millis(6_000);
 
 /// A server that is known.
 #[derive(Debug, Clone)]
@@ -87,9 +87,9 @@
     /// Whether the store has listed the servers.
     listed: bool,
     /// Until when entries may be missing in the store although their servers live.
-    doubtful_until: Option<Time>,
+    grace_until: Option<Time>,
     /// The same as it was when the store was lost, to go on with if it was away for a moment only.
-    doubtful_before: Option<Time>,
+    grace_before: Option<Time>,
     /// The sum of the entries' digests, kept with each change: every notice tells it.
     digest: u64,
     /// The servers that have started again since this was last asked.
@@ -111,32 +111,32 @@
 impl Directory {
     /// Notes that the store gives no answer: entries that are missing from now on may have lapsed.
     pub fn store_lost(&mut self) {
-        self.doubtful_before = self.doubtful_until;
-        self.doubtful_until = Some(Time::NEVER);
+        self.grace_before = self.grace_until;
+        self.grace_until = Some(Time::NEVER);
     }
 
     /// Notes that the store answers again after a time without contact; `lapsed` says whether it was
     /// away for so long that entries may have lapsed meanwhile.
     pub fn store_returned(&mut self, now: Time, lapsed: bool) {
         if !lapsed {
-            self.doubtful_until = self.doubtful_before.take();
+            self.grace_until = self.grace_before.take();
             return;
         }
-        let until = now + GRACE;
-        self.doubtful_until = Some(until);
+        let until = now + STORE_RETURN_GRACE;
+        self.grace_until = Some(until);
         for entry in self.entries.values_mut() {
             entry.missing_until = entry.missing_until.map(|_| until);
         }
     }
 
     /// Notes on a peer's word that entries may be missing for a while although their servers live.
-    pub fn doubt(&mut self, until: Time) {
-        self.doubtful_until = self.doubtful_until.max(Some(until));
+    pub fn extend_grace(&mut self, until: Time) {
+        self.grace_until = self.grace_until.max(Some(until));
     }
 
     /// Gives how much longer entries may be missing although their servers live.
-    pub fn doubt_left(&self, now: Time) -> Duration {
-        let until = self.doubtful_until.filter(|until| *until != Time::NEVER);
+    pub fn grace_left(&self, now: Time) -> Duration {
+        let until = self.grace_until.filter(|until| *until != Time::NEVER);
         until.map_or(Duration::ZERO, |until| until.left(now))
     }
 
@@ -150,7 +150,7 @@
         for id in &missing {
             self.lose(id, now);
         }
-        self.faults.keep(&listing.unreadable);
+        self.faults.retain(&listing.unreadable);
         for fault in &listing.unreadable {
             self.close(fault);
         }
@@ -173,7 +173,7 @@
 
     /// Takes a server's own word that it was born then. One that has started again is used on, if it was used before: it
     /// answers where it did, and the store may be away.
-    pub fn hear_born(&mut self, id: &str, born: u64) {
+    pub fn observe_birth(&mut self, id: &str, born: u64) {
         let Some(entry) = self.entries.get(id) else {
             return;
         };
@@ -194,7 +194,7 @@
     }
 
     /// Says whether a server has started again after an incarnation.
-    pub fn is_over(&self, incarnation: &Incarnation) -> bool {
+    pub fn is_superseded(&self, incarnation: &Incarnation) -> bool {
         let entry = self.entries.get(&incarnation.id);
         entry.is_some_and(|entry| entry.server.incarnation.supersedes(incarnation))
     }
@@ -277,12 +277,12 @@
 
     /// Gives a server that new work may go to.
     pub fn get(&self, key: Key) -> Option<&Server> {
-        let server = self.sound(key)?;
+        let server = self.active(key)?;
         self.is_reachable(server).then_some(server)
     }
 
     /// Gives a server that is known, listed and not leaving, whether its failure domain is evacuated or not.
-    pub fn sound(&self, key: Key) -> Option<&Server> {
+    pub fn active(&self, key: Key) -> Option<&Server> {
         let entry = self.entries.get(self.ids.get(&key)?)?;
         entry.is_open().then_some(&entry.server)
     }
@@ -308,13 +308,13 @@
 
     /// Lists the servers of a service that new work may go to, in the order of their ids.
     pub fn of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Server> {
-        self.sound_of(service)
+        self.active_of(service)
             .filter(|server| self.is_reachable(server))
     }
 
     /// Lists the servers of a service that are listed and not leaving, those of evacuated failure domains among them.
-    pub fn sound_of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Server> {
-        self.all_sound()
+    pub fn active_of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Server> {
+        self.all_active()
             .filter(move |server| &*server.service == service)
     }
 
@@ -324,14 +324,14 @@
     }
 
     /// Lists all servers that are listed and not leaving, in the order of their ids.
-    fn all_sound(&self) -> impl Iterator<Item = &Server> {
+    fn all_active(&self) -> impl Iterator<Item = &Server> {
         let open = self.entries.values().filter(|entry| entry.is_open());
         open.map(|entry| &entry.server)
     }
 
     /// Lists the servers of a failure domain that are listed and not leaving.
-    pub fn sound_in<'a>(&'a self, domain: &'a str) -> impl Iterator<Item = &'a Server> {
-        self.all_sound()
+    pub fn active_in<'a>(&'a self, domain: &'a str) -> impl Iterator<Item = &'a Server> {
+        self.all_active()
             .filter(move |server| &*server.domain == domain)
     }
 
@@ -427,7 +427,7 @@
 
     /// Takes that a server's entry is gone; the server is kept for a while where the entry may come back.
     fn lose(&mut self, id: &str, now: Time) {
-        let doubtful_until = self.doubtful_until.filter(|until| *until > now);
+        let doubtful_until = self.grace_until.filter(|until| *until > now);
         match doubtful_until {
             None => self.depart(id, now),
             Some(until) => {
--- a/crates/alderglade-core/src/fleet/directory/followed.rs
+++ b/crates/alderglade-core/src/fleet/directory/followed.rs
@@ -1,6 +1,6 @@
 //! What the store lists and tells as changed, as far as a position; and what a list of a new era shows.
 
-use super::{Change, Directory, GRACE, Listing, STALE, Server};
+use super::{Change, Directory, Listing, STALE_ENTRY_HOLD, STORE_RETURN_GRACE, Server};
 use crate::Name;
 use crate::fleet::position::Position;
 use crate::time::Time;
@@ -45,20 +45,20 @@
     }
 
     /// Says whether the changes between two positions are the next ones: not known yet, and of one history with what is.
-    pub fn lacks(&self, after: Position, position: Position) -> bool {
+    pub fn needs_changes(&self, after: Position, position: Position) -> bool {
         let one_history = after.era == position.era && after.joins(self.position);
         one_history && position > self.position
     }
 
     /// Takes the changes between two positions, if they are the next ones; says whether they are.
-    pub fn take_changes(
+    pub fn apply_changes(
         &mut self,
         after: Position,
         changes: &[Change],
         position: Position,
         now: Time,
     ) -> bool {
-        if !self.lacks(after, position) {
+        if !self.needs_changes(after, position) {
             return false;
         }
         for change in changes {
@@ -84,7 +84,7 @@
     /// Takes the first whole list of a new era, from a copy of the store: what was written since may be back soon, and
     /// what has gone since may stand there again.
     fn restore(&mut self, listing: Listing, position: Position, now: Time) {
-        self.doubt(now + GRACE);
+        self.extend_grace(now + STORE_RETURN_GRACE);
         let gone = |server: &&Server| {
             !self.entries.contains_key(server.id()) && self.departed.has(&server.incarnation)
         };
@@ -96,7 +96,7 @@
             .collect();
         self.replace(listing, now);
         for id in &gone {
-            self.hold(id, Some(now + STALE));
+            self.hold(id, Some(now + STALE_ENTRY_HOLD));
         }
         let missing = self
             .entries
--- a/crates/alderglade-core/src/fleet/evacuation.rs
+++ b/crates/alderglade-core/src/fleet/evacuation.rs
@@ -11,11 +11,11 @@
 use std::time::Duration;
 
 /// How long an evacuation stays in force that a copy of the store lacks: the operator writes again what was lost.
-pub const RESTORED: Duration = Duration::from_secs(10);
+pub const RESTORED_GRACE: Duration = Duration::from_secs(10);
 
 /// An evacuation that a copy of the store lacks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lost {
+pub struct MissingEvacuation {
     /// The failure domain.
     pub domain: Name,
     /// How much longer it stays in force, in milliseconds.
@@ -24,13 +24,13 @@
 
 /// The evacuations, as hosts tell each other.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Snapshot {
     /// As of which position in the store; `None` where the sender doesn't know them.
     pub at: Option<Position>,
     /// The failure domains that are evacuated in the store.
     pub domains: Vec<Name>,
     /// Those whose evacuation a copy of the store lacks.
-    pub lost: Vec<Lost>,
+    pub lost: Vec<MissingEvacuation>,
 }
 
 /// How one failure domain stands, as the store tells of a change.
@@ -55,20 +55,20 @@
 
 impl Evacuations {
     /// Says whether this host knows them, from the store or from another host.
-    pub fn are_known(&self) -> bool {
+    pub fn is_known(&self) -> bool {
         self.at.is_some()
     }
 
     /// Takes all domains that are evacuated as of a position, unless a later one is known; says whether that changes which
     /// ones are.
-    pub fn take(&mut self, domains: BTreeSet<Name>, position: Position, now: Time) -> bool {
+    pub fn replace(&mut self, domains: BTreeSet<Name>, position: Position, now: Time) -> bool {
         if self.at >= Some(position) {
             return false;
         }
         let before = self.in_force();
         if self.at.is_some_and(|at| at.era < position.era) {
             let lost = self.domains.difference(&domains);
-            let until = now + RESTORED;
+            let until = now + RESTORED_GRACE;
             self.lost.extend(lost.map(|domain| (domain.clone(), until)));
         }
         self.lost.retain(|domain, _| !domains.contains(domain));
@@ -79,7 +79,7 @@
 
     /// Takes changes that lead to a position, unless a later one is known; says whether they change which domains are evacuated.
     /// Of several changes of one domain the last counts.
-    pub fn change(&mut self, changes: &[Change], position: Position) -> bool {
+    pub fn apply_changes(&mut self, changes: &[Change], position: Position) -> bool {
         if self.at >= Some(position) {
             return false;
         }
@@ -97,18 +97,18 @@
     }
 
     /// Takes what another host knows; says whether that changes which domains are evacuated.
-    pub fn hear(&mut self, told: &Told, now: Time) -> bool {
-        let Some(position) = told.at else {
+    pub fn apply_snapshot(&mut self, snapshot: &Snapshot, now: Time) -> bool {
+        let Some(position) = snapshot.at else {
             return false;
         };
         // Each notice tells them, and nearly none anything new.
-        if self.at >= told.at && told.lost.is_empty() {
+        if self.at >= snapshot.at && snapshot.lost.is_empty() {
             return false;
         }
         let before = self.in_force();
-        self.take(told.domains.iter().cloned().collect(), position, now);
-        for Lost { domain, left_ms } in &told.lost {
-            let left = Duration::from_millis(u64::from(*left_ms)).min(RESTORED);
+        self.replace(snapshot.domains.iter().cloned().collect(), position, now);
+        for MissingEvacuation { domain, left_ms } in &snapshot.lost {
+            let left = Duration::from_millis(u64::from(*left_ms)).min(RESTORED_GRACE);
             let same_history = self.at.is_some_and(|at| at.era == position.era);
             if same_history && !self.domains.contains(domain) {
                 self.lost.entry(domain.clone()).or_insert(now + left);
@@ -131,12 +131,12 @@
     }
 
     /// Gives what other hosts are told.
-    pub fn tell(&self, now: Time) -> Told {
-        let lost = self.lost.iter().map(|(domain, until)| Lost {
+    pub fn snapshot(&self, now: Time) -> Snapshot {
+        let lost = self.lost.iter().map(|(domain, until)| MissingEvacuation {
             domain: domain.clone(),
             left_ms: until.left(now).as_millis() as u32,
         });
-        Told {
+        Snapshot {
             at: self.at,
             domains: self.domains.iter().cloned().collect(),
             lost: lost.collect(),
--- a/crates/alderglade-core/src/fleet/spread.rs
+++ b/crates/alderglade-core/src/fleet/fanout.rs
@@ -23,32 +23,32 @@
 
 /// Who is told, and how.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Route {
+pub struct Fanout {
     /// Hosts that pass notices on in their failure domain.
-    pub through: Vec<Name>,
+    pub forwarders: Vec<Name>,
     /// Hosts that are reached through these, themselves among them.
-    pub reached: BTreeSet<Name>,
+    pub covered: BTreeSet<Name>,
 }
 
 /// Gives the way to the hosts of other failure domains among those `heard` of, for the host `own` after so many heartbeats.
-pub fn route<'a>(own: &str, beat: u64, heard: impl Iterator<Item = Neighbour<'a>>) -> Route {
+pub fn fanout<'a>(own: &str, beat: u64, heard: impl Iterator<Item = Neighbour<'a>>) -> Fanout {
     let mut domains: BTreeMap<&Name, Vec<&Name>> = BTreeMap::new();
-    for host in heard.filter(|host| !host.near) {
+    for host in heard.filter(|host| !host.same_domain) {
         domains.entry(host.domain).or_default().push(host.name);
     }
-    let mut route = Route::default();
+    let mut fanout = Fanout::default();
     for hosts in domains.into_values().filter(|hosts| hosts.len() >= LEAST) {
-        route
-            .through
+        fanout
+            .forwarders
             .extend(in_turn(own, beat, hosts.clone()).cloned());
-        route.reached.extend(hosts.into_iter().cloned());
+        fanout.covered.extend(hosts.into_iter().cloned());
     }
-    route
+    fanout
 }
 
 /// What concerns hosts of other groups, and so which of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Concern {
+pub struct Scope {
     /// Whether it concerns all hosts.
     pub all: bool,
     /// Whether it concerns all hosts of the own failure domain.
@@ -68,20 +68,20 @@
     pub division: Division,
 }
 
-impl Concern {
+impl Scope {
     /// Says whether it concerns a part of the hosts.
     fn is_of(&self, sender: &Sender<'_>, group: Group, domain: &Name) -> bool {
         self.all || self.groups.contains(&group) || (self.domain && domain == sender.domain)
     }
 
     /// Gives a host of each part that it concerns, after so many heartbeats, among `hosts`, each with its failure domain.
-    pub fn bridges<'a>(
+    pub fn gateways<'a>(
         &self,
         sender: &Sender<'_>,
         beat: u64,
         hosts: impl Iterator<Item = (&'a Name, &'a Name)>,
     ) -> Vec<&'a Name> {
-        if *self == Concern::default() {
+        if *self == Scope::default() {
             return Vec::new();
         }
         let own = sender.division.of_host(sender.name);
--- a/crates/alderglade-core/src/fleet/faults.rs
+++ b/crates/alderglade-core/src/fleet/faults.rs
@@ -28,7 +28,7 @@
     /// How many more have, beyond those.
     pub more: u64,
     /// Those that can be read again, or are gone.
-    pub mended: Vec<Name>,
+    pub resolved: Vec<Name>,
 }
 
 /// The entries that can't be read, and what is new of them since operators were told.
@@ -62,13 +62,13 @@
         let Some((name, _)) = self.known.remove_entry(name) else {
             return;
         };
-        if self.news.mended.len() < MOST_TOLD {
-            self.news.mended.push(name);
+        if self.news.resolved.len() < MOST_TOLD {
+            self.news.resolved.push(name);
         }
     }
 
     /// Notes that no other entries than these can't be read.
-    pub fn keep(&mut self, all: &[Fault]) {
+    pub fn retain(&mut self, all: &[Fault]) {
         let all: BTreeSet<&Name> = all.iter().map(|fault| &fault.name).collect();
         let gone = self.known.keys().filter(|name| !all.contains(name));
         let gone: Vec<Name> = gone.cloned().collect();
--- a/crates/alderglade-core/src/fleet/group.rs
+++ b/crates/alderglade-core/src/fleet/group.rs
@@ -17,7 +17,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The least number of hosts of a group, as a mean.
-pub const LEAST_HOSTS: usize = 64;
+pub const MIN_GROUP_HOSTS: usize = 64;
 
 /// A group.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -33,7 +33,7 @@
 impl Division {
     /// Gives the division of so many hosts.
     pub fn of_hosts(hosts: usize) -> Division {
-        let groups = (hosts / LEAST_HOSTS).max(1);
+        let groups = (hosts / MIN_GROUP_HOSTS).max(1);
         Division {
             bits: groups.ilog2(),
         }
@@ -57,14 +57,14 @@
 
     /// Gives how many groups come before a host's own where the hosts of a failure domain share a duty. Another group comes first
     /// in each domain, as far as there are enough.
-    pub fn turn(self, domain: &str, host: &str) -> u32 {
+    pub fn precedence(self, domain: &str, host: &str) -> u32 {
         let Group(own) = self.of_host(host);
         let first = leading(xxh3_64(domain.as_bytes()), self.bits);
         own.wrapping_sub(first) % self.groups()
     }
 
     /// Deals the servers of one service to the groups.
-    fn deal<'a>(self, servers: impl Iterator<Item = &'a Server>) -> Vec<(Key, Group)> {
+    fn assign<'a>(self, servers: impl Iterator<Item = &'a Server>) -> Vec<(Key, Group)> {
         let order = servers.map(|server| (xxh3_64(server.id().as_bytes()), server.key()));
         let mut order: Vec<(u64, Key)> = order.collect();
         order.sort_unstable();
@@ -96,12 +96,12 @@
     }
 
     /// Takes a division; says whether it is another one. Servers must be dealt anew then.
-    pub fn divide(&mut self, division: Division) -> bool {
+    pub fn set_division(&mut self, division: Division) -> bool {
         std::mem::replace(&mut self.division, division) != division
     }
 
     /// Deals servers to the groups.
-    pub fn deal<'a>(&mut self, servers: impl Iterator<Item = &'a Server>) {
+    pub fn assign<'a>(&mut self, servers: impl Iterator<Item = &'a Server>) {
         self.servers.clear();
         if self.division.is_single() {
             return;
@@ -111,7 +111,8 @@
             services.entry(&server.service).or_default().push(server);
         }
         for servers in services.into_values() {
-            self.servers.extend(self.division.deal(servers.into_iter()));
+            self.servers
+                .extend(self.division.assign(servers.into_iter()));
         }
     }
 
@@ -126,12 +127,12 @@
     }
 
     /// Says whether two hosts are of the same group.
-    pub fn are_together(&self, host: &str, other: &str) -> bool {
+    pub fn same_group(&self, host: &str, other: &str) -> bool {
         self.division.is_single() || self.of_host(host) == self.of_host(other)
     }
 
     /// Says whether a server is of a host's group.
-    pub fn is_shared(&self, host: &str, server: Key) -> bool {
+    pub fn has_server(&self, host: &str, server: Key) -> bool {
         self.division.is_single() || self.of_host(host) == self.of_server(server)
     }
 
--- a/crates/alderglade-core/src/fleet/health.rs
+++ b/crates/alderglade-core/src/fleet/health.rs
@@ -24,7 +24,7 @@
 const LONGEST_PAUSE: Duration = Duration::from_secs(2);
 /// How long a server is passed over that refuses work or is slow: most of those that refuse are leaving, which
 /// the store tells within this time unless it is away; slow ones are asked again before it is over.
-const PASSED_OVER: Duration = Duration::from_secs(3);
+const EJECTED_FOR: Duration = Duration::from_secs(3);
 /// A peer's word that ends later than the own by no more than this is as old: it was on its way meanwhile. Small beside
 /// the time after which a slow server is asked again.
 const ON_ITS_WAY: Duration = Duration::from_millis(200);
@@ -68,7 +68,7 @@
     /// When the last call got no answer, if there was none since.
     unanswered: Option<Time>,
     /// Until when it is passed over by a server's word.
-    passed_over_until: Time,
+    ejected_until: Time,
     /// Whether this host has that word from a server, not from a peer.
     first_hand: bool,
     /// When this host last asked it how slow it is.
@@ -77,8 +77,8 @@
 
 impl Record {
     /// Says whether the server is passed over now by a server's word.
-    fn is_passed_over(&self, now: Time) -> bool {
-        self.passed_over_until > now
+    fn is_ejected(&self, now: Time) -> bool {
+        self.ejected_until > now
     }
 
     /// Says whether the last call got no answer, a short while ago.
@@ -88,17 +88,17 @@
     }
 
     /// Gives what this host tells its peers of the server, if anything.
-    fn told(&self, server: Key, now: Time) -> Option<PassedOver> {
+    fn told(&self, server: Key, now: Time) -> Option<Ejection> {
         let closed = self.out_until.left(now);
         let closed = if self.closed { closed } else { Duration::ZERO };
-        let refusing = self.passed_over_until.left(now);
+        let refusing = self.ejected_until.left(now);
         let refusing = if self.first_hand {
             refusing
         } else {
             Duration::ZERO
         };
         let left = closed.max(refusing).as_millis();
-        (left > 0).then_some(PassedOver {
+        (left > 0).then_some(Ejection {
             server,
             left_ms: u32::try_from(left).unwrap_or(u32::MAX),
         })
@@ -107,7 +107,7 @@
 
 /// A server that refuses work or is slow, as hosts tell each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PassedOver {
+pub struct Ejection {
     /// The server.
     pub server: Key,
     /// How much longer it is passed over, in milliseconds.
@@ -130,7 +130,7 @@
 
 impl Health {
     /// Notes how a call to a server ended.
-    pub fn note(&mut self, server: Key, outcome: Outcome, now: Time) {
+    pub fn record(&mut self, server: Key, outcome: Outcome, now: Time) {
         let record = self.records.entry(server).or_default();
         let failed = if outcome == Outcome::Sound { 0.0 } else { 1.0 };
         record.failures += NEWEST * (failed - record.failures);
@@ -152,19 +152,19 @@
     }
 
     /// Notes what a server has told this host: that another one refuses work, or that it is slow itself.
-    pub fn note_passed_over(&mut self, server: Key, now: Time) {
+    pub fn eject(&mut self, server: Key, now: Time) {
         let record = self.records.entry(server).or_default();
-        record.passed_over_until = now + PASSED_OVER;
+        record.ejected_until = now + EJECTED_FOR;
         record.first_hand = true;
     }
 
     /// Says whether this host should ask a server now how slow it is, and if so, notes that it does.
-    pub fn begin_question(&mut self, server: Key, now: Time) -> bool {
+    pub fn begin_slowness_check(&mut self, server: Key, now: Time) -> bool {
         let record = self.records.entry(server).or_default();
         let lately = record
             .asked
             .is_some_and(|at| now.since(at) < QUESTIONS_APART);
-        if lately || record.is_passed_over(now) {
+        if lately || record.is_ejected(now) {
             return false;
         }
         record.asked = Some(now);
@@ -172,31 +172,31 @@
     }
 
     /// Says whether this host has the latest word that a server is to be passed over, and so looks after it.
-    pub fn looks_after(&self, server: Key) -> bool {
+    pub fn owns_ejection(&self, server: Key) -> bool {
         self.records
             .get(&server)
             .is_some_and(|record| record.first_hand)
     }
 
     /// Takes a peer's word that a server refuses work or is slow.
-    pub fn hear_passed_over(&mut self, told: &PassedOver, now: Time) {
-        let left = Duration::from_millis(u64::from(told.left_ms)).min(PASSED_OVER);
+    pub fn apply_ejection(&mut self, ejection: &Ejection, now: Time) {
+        let left = Duration::from_millis(u64::from(ejection.left_ms)).min(EJECTED_FOR);
         let until = now + left;
-        let record = self.records.entry(told.server).or_default();
+        let record = self.records.entry(ejection.server).or_default();
         let as_old = if record.first_hand {
             ON_ITS_WAY
         } else {
             Duration::ZERO
         };
-        if until > record.passed_over_until + as_old {
-            record.passed_over_until = until;
+        if until > record.ejected_until + as_old {
+            record.ejected_until = until;
             record.first_hand = false;
         }
     }
 
     /// Lists the servers that are passed over as this host was told by a server or its machine itself: no more of them than
     /// fit a notice beside its holdings.
-    pub fn told_passed_over(&self, now: Time) -> Vec<PassedOver> {
+    pub fn ejections_to_report(&self, now: Time) -> Vec<Ejection> {
         /// Some 300 bytes.
         const MOST: usize = 32;
         let records = self.records.iter();
@@ -205,7 +205,7 @@
     }
 
     /// Lists the servers whose last answer to this host is missing, as peers are told: no more than fit a notice.
-    pub fn told_unanswered(&self, now: Time) -> Vec<Key> {
+    pub fn unanswered_to_report(&self, now: Time) -> Vec<Key> {
         /// Some 100 bytes.
         const MOST: usize = 16;
         let records = self.records.iter();
@@ -214,20 +214,20 @@
     }
 
     /// Takes all the servers whose last answer to another host is missing.
-    pub fn hear_unanswered(&mut self, host: &Name, domain: &Name, servers: &[Key], now: Time) {
+    pub fn apply_unanswered(&mut self, host: &Name, domain: &Name, servers: &[Key], now: Time) {
         self.witnesses.hear(host, domain, servers, now);
     }
 
     /// Gives how many servers are passed over by any server's word.
-    pub fn passed_over(&self, now: Time) -> usize {
+    pub fn ejected_count(&self, now: Time) -> usize {
         let records = self.records.values();
-        records.filter(|record| record.is_passed_over(now)).count()
+        records.filter(|record| record.is_ejected(now)).count()
     }
 
     /// Says whether a server should be passed over now where others can serve, by a host of a failure domain.
-    pub fn doubted(&self, server: Key, own_domain: &str, now: Time) -> bool {
+    pub fn is_suspect(&self, server: Key, own_domain: &str, now: Time) -> bool {
         let record = self.records.get(&server);
-        let out = record.is_some_and(|record| record.out_until > now || record.is_passed_over(now));
+        let out = record.is_some_and(|record| record.out_until > now || record.is_ejected(now));
         let seen = record.is_some_and(|record| record.is_unanswered(now));
         out || self.witnesses.doubt(server, own_domain, seen, now)
     }
--- a/crates/alderglade-core/src/fleet/heartbeat.rs
+++ b/crates/alderglade-core/src/fleet/heartbeat.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 /// The shortest interval, and that of hosts that watch the store, by whom others go.
-pub const SHORTEST: Duration = Duration::from_millis(250);
+pub const MIN_INTERVAL: Duration = Duration::from_millis(250);
 /// The longest interval; a host that dies counts for five of them.
-pub const LONGEST: Duration = Duration::from_millis(1_000);
+pub const MAX_INTERVAL: Duration = Duration::from_millis(1_000);
 /// What each host adds to the interval, so that with up to a hundred of them a host sends at most a hundred
 /// heartbeats a second.
 const PER_HOST: Duration = Duration::from_millis(10);
@@ -25,26 +25,28 @@
 /// The least time from one whole notice to the next in intervals, which is longer where these are.
 const WHOLE_INTERVALS: f64 = 2.5;
 /// How long a host tells in whole notices what it has placed: in two of them, where the interval is longest.
-pub const TOLD_FOR: Duration = Duration::from_millis(5_000);
+pub const PLACED_REPORT_TIME: Duration = Duration::from_millis(5_000);
 
 /// Gives the interval of a host that knows of so many `hosts`, itself among them; `watches` says whether it watches
 /// the store.
 pub fn interval(hosts: usize, watches: bool) -> Duration {
     if watches {
-        return SHORTEST;
+        return MIN_INTERVAL;
     }
     let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
-    PER_HOST.saturating_mul(hosts).clamp(SHORTEST, LONGEST)
+    PER_HOST
+        .saturating_mul(hosts)
+        .clamp(MIN_INTERVAL, MAX_INTERVAL)
 }
 
 /// Gives the time without a notice after which a host with this interval counts as dead, and holds nothing any more.
-pub fn lapse(interval: Duration) -> Duration {
-    interval.max(SHORTEST) * LAPSE
+pub fn expiry(interval: Duration) -> Duration {
+    interval.max(MIN_INTERVAL) * LAPSE
 }
 
 /// Gives the time without a notice after which a host with this interval no longer counts as heard.
-pub fn heard(interval: Duration) -> Duration {
-    interval.max(SHORTEST).mul_f64(HEARD)
+pub fn liveness_timeout(interval: Duration) -> Duration {
+    interval.max(MIN_INTERVAL).mul_f64(HEARD)
 }
 
 /// Gives the time from one whole notice to the next of a host with this interval.
--- a/crates/alderglade-core/src/fleet/homes.rs
+++ b/crates/alderglade-core/src/fleet/homes.rs
@@ -20,7 +20,7 @@
     }
 
     /// Says whether the request may run anywhere.
-    pub fn are_everywhere(&self) -> bool {
+    pub fn is_unrestricted(&self) -> bool {
         self.allowed.is_empty()
     }
 
--- a/crates/alderglade-core/src/fleet/load_table.rs
+++ b/crates/alderglade-core/src/fleet/load_table.rs
@@ -227,7 +227,7 @@
 
     /// Gives all that this host holds, and what it has placed lately.
     pub fn all_holdings(&self, now: Time) -> Vec<Holding> {
-        let is_recent = |own: &Own| now.since(own.changed) < heartbeat::TOLD_FOR;
+        let is_recent = |own: &Own| now.since(own.changed) < heartbeat::PLACED_REPORT_TIME;
         let is_told = |own: &Own| !own.load.holds_nothing() || is_recent(own);
         let own = self.own.iter().filter(|(_, own)| is_told(own));
         let holdings = own.map(|(server, own)| Holding {
@@ -283,7 +283,7 @@
 
     /// Lets the holdings of silent hosts lapse; gives the names of these hosts.
     pub fn expire(&mut self, now: Time) -> Vec<Name> {
-        let is_silent = |peer: &Peer| now.since(peer.heard) > heartbeat::lapse(peer.interval);
+        let is_silent = |peer: &Peer| now.since(peer.heard) > heartbeat::expiry(peer.interval);
         let silent = self.peers.iter().filter(|(_, peer)| is_silent(peer));
         let silent: Vec<Name> = silent.map(|(name, _)| name.clone()).collect();
         for name in &silent {
@@ -312,13 +312,14 @@
         domain: &'a Name,
         now: Time,
     ) -> impl Iterator<Item = Neighbour<'a>> + Clone {
-        let lately = move |peer: &Peer| now.since(peer.heard) <= heartbeat::heard(peer.interval);
+        let lately =
+            move |peer: &Peer| now.since(peer.heard) <= heartbeat::liveness_timeout(peer.interval);
         let peers = self.peers.iter().filter(move |(_, peer)| lately(peer));
         peers.map(move |(name, peer)| Neighbour {
             name,
             domain: &peer.domain,
-            near: peer.domain == *domain,
-            word: peer.store,
+            same_domain: peer.domain == *domain,
+            store: peer.store,
         })
     }
 
--- a/crates/alderglade-core/src/fleet/load_table/notice.rs
+++ b/crates/alderglade-core/src/fleet/load_table/notice.rs
@@ -5,14 +5,14 @@
 use super::{Demand, Load};
 use crate::Name;
 use crate::fleet::evacuation;
+use crate::fleet::fanout::Scope;
 use crate::fleet::group::Groups;
-use crate::fleet::health::PassedOver;
+use crate::fleet::health::Ejection;
 use crate::fleet::incarnation::Key;
 use crate::fleet::position::Position;
-use crate::fleet::quarantine::Told;
+use crate::fleet::quarantine::Finding;
 use crate::fleet::rate_limit;
-use crate::fleet::relay::Word;
-use crate::fleet::spread::Concern;
+use crate::fleet::relay::StoreStatus;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -59,21 +59,21 @@
     /// Prompts that wait at the sender.
     pub waiting: Vec<Demand>,
     /// What the sender knows of the store.
-    pub store: Word,
+    pub store: StoreStatus,
     /// Servers that the sender knows to be leaving.
     pub leaving: Vec<Key>,
     /// Servers that refuse work or are slow, as the sender was told by servers.
-    pub ejections: Vec<PassedOver>,
+    pub ejections: Vec<Ejection>,
     /// Servers from which the sender's last answer is missing.
     pub unanswered: Vec<Key>,
     /// What the sender has seen of requests under which servers end.
-    pub quarantine: Vec<Told>,
+    pub quarantine: Vec<Finding>,
     /// Servers that have named the most requests that they take, as the sender was told by them.
-    pub limits: Vec<rate_limit::Told>,
+    pub limits: Vec<rate_limit::LimitReport>,
     /// Servers that are cold, as the sender has it from themselves or the store.
-    pub cold: Vec<rate_limit::cold::Told>,
+    pub cold: Vec<rate_limit::cold::ColdReport>,
     /// The failure domains that are evacuated.
-    pub evacuations: evacuation::Told,
+    pub evacuations: evacuation::Snapshot,
     /// What it holds.
     pub holdings: Vec<Holding>,
 }
@@ -87,9 +87,9 @@
     /// Says which hosts of other groups it concerns: those of the failure domain go by the word of a host that watches the
     /// store, those whose servers it names must know what is held there, and a request under which servers end may be sent
     /// by anybody.
-    pub fn scope(&self, groups: &Groups) -> Concern {
+    pub fn scope(&self, groups: &Groups) -> Scope {
         let elsewhere = self.elsewhere(groups);
-        Concern {
+        Scope {
             all: !self.quarantine.is_empty(),
             domain: self.store.in_contact,
             groups: elsewhere
@@ -112,6 +112,6 @@
     /// Lists what the sender holds at servers of other groups.
     fn elsewhere<'a>(&'a self, groups: &'a Groups) -> impl Iterator<Item = &'a Holding> {
         let holdings = self.holdings.iter();
-        holdings.filter(|holding| !groups.is_shared(&self.host, holding.server))
+        holdings.filter(|holding| !groups.has_server(&self.host, holding.server))
     }
 }
--- a/crates/alderglade-core/src/fleet/load_table/peer.rs
+++ b/crates/alderglade-core/src/fleet/load_table/peer.rs
@@ -8,7 +8,7 @@
 use crate::Name;
 use crate::fleet::incarnation::Key;
 use crate::fleet::position::Position;
-use crate::fleet::relay::Word;
+use crate::fleet::relay::StoreStatus;
 use crate::time::Time;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -35,7 +35,7 @@
     /// Prompts that wait there.
     pub(super) queue: Vec<Entry>,
     /// What it knows of the store.
-    pub(super) store: Word,
+    pub(super) store: StoreStatus,
     /// What it holds at each server.
     pub(super) loads: HashMap<Key, Load>,
     /// The reading that it has placed at each server, in microseconds.
@@ -53,7 +53,7 @@
             interval: notice.interval(),
             multi_engine_prompts: 0,
             queue: Vec::new(),
-            store: Word::default(),
+            store: StoreStatus::default(),
             loads: HashMap::new(),
             placed: HashMap::new(),
         }
--- a/crates/alderglade-core/src/fleet/loan.rs
+++ b/crates/alderglade-core/src/fleet/loan.rs
@@ -3,7 +3,7 @@
 //! An answer counts once, and only while what it lends may be used: one that is doubled, late, or meant for a former
 //! lifetime of this host gives nothing, and what it lent is lost.
 
-use super::budget::LENT_FOR;
+use super::budget::LOAN_LIFETIME;
 use crate::Name;
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
@@ -53,7 +53,7 @@
 
 /// The questions of one host.
 #[derive(Debug)]
-pub struct Questions {
+pub struct LoanRequests {
     /// The number of the last one.
     last: u64,
     open: BTreeMap<u64, Question>,
@@ -61,11 +61,11 @@
     in_vain: BTreeMap<Name, Time>,
 }
 
-impl Questions {
+impl LoanRequests {
     /// Starts with no question. Numbers go on from `first`, which is drawn by chance, so that no answer to a former
     /// lifetime is taken for one to this.
-    pub fn new(first: u64) -> Questions {
-        Questions {
+    pub fn new(first: u64) -> LoanRequests {
+        LoanRequests {
             last: first,
             open: BTreeMap::new(),
             in_vain: BTreeMap::new(),
@@ -78,7 +78,7 @@
     }
 
     /// Notes that nobody asked has lent enough.
-    pub fn note_in_vain(&mut self, service: &Name, now: Time) {
+    pub fn record_refusal(&mut self, service: &Name, now: Time) {
         self.in_vain.insert(service.clone(), now + IN_VAIN);
     }
 
@@ -88,7 +88,7 @@
         self.last = self.last.wrapping_add(1);
         let question = Question {
             service: service.clone(),
-            until: now + LENT_FOR,
+            until: now + LOAN_LIFETIME,
         };
         self.open.insert(self.last, question);
         Request {
--- a/crates/alderglade-core/src/fleet/message.rs
+++ b/crates/alderglade-core/src/fleet/message.rs
@@ -20,30 +20,30 @@
     /// What the sender holds at backend servers.
     Notice(Notice),
     /// As a notice, to be passed on to the hosts of the receiver's group and failure domain.
-    Spread(Notice),
+    NoticeToForward(Notice),
     /// A notice that a host of the receiver's failure domain passes on.
-    PassedOn(PassedOn),
+    ForwardedNotice(ForwardedNotice),
     /// The sender wants to know how old the other's word of the store is.
-    Ask(Ask),
+    ConfirmationRequest(ConfirmationRequest),
     /// The answer to that.
     Confirmation(Confirmation),
     /// What a host that watches the store has learnt there.
-    Learnt(Learnt),
+    StoreUpdate(StoreUpdate),
     /// The same, to be passed on to the hosts of the receiver's group and failure domain.
-    Relay(Learnt),
+    StoreUpdateToForward(StoreUpdate),
     /// The sender asks for a part of the other's budget of repeated sends.
-    Borrow(loan::Request),
+    LoanRequest(loan::Request),
     /// The answer to that.
     Loan(Loan),
     /// The sender asks the owner of a server's limit for leave to send it one request.
-    Claim(rate_limit::Request),
+    GrantRequest(rate_limit::Request),
     /// The answer to that.
     Grant(Grant),
 }
 
 /// What the store has told.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Learnt {
+pub enum StoreUpdate {
     /// Changes of backend servers.
     Servers(Servers),
     /// A newer configuration.
@@ -65,7 +65,7 @@
 
 /// A notice of another host, passed on.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PassedOn {
+pub struct ForwardedNotice {
     /// Where that host is reached.
     pub origin: SocketAddr,
     /// What it tells.
@@ -74,7 +74,7 @@
 
 /// Asks how old the other's word of the store is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct ConfirmationRequest {
     /// The asking host's clock, in microseconds; comes back in the answer.
     pub asked_us: u64,
 }
@@ -111,23 +111,23 @@
     pub position: Position,
     /// How much longer entries may be missing in the store although their servers live, in
     /// milliseconds.
-    pub doubt_ms: u32,
+    pub grace_ms: u32,
     /// Which part of the changes it is.
-    pub piece: Piece,
+    pub fragment: Fragment,
     /// The changes, oldest first.
     pub changes: Vec<Change>,
 }
 
 /// A part of something that no packet holds as a whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Piece {
+pub struct Fragment {
     /// Its number, from `0`.
-    pub number: u16,
+    pub index: u16,
     /// How many there are.
-    pub of: u16,
+    pub count: u16,
 }
 
-impl Piece {
+impl Fragment {
     /// The only one.
-    pub const WHOLE: Piece = Piece { number: 0, of: 1 };
+    pub const WHOLE: Fragment = Fragment { index: 0, count: 1 };
 }
--- a/crates/alderglade-core/src/fleet/quarantine.rs
+++ b/crates/alderglade-core/src/fleet/quarantine.rs
@@ -15,20 +15,20 @@
 //! Facts only add up, and each names one lifetime of a server: told late, twice or in another order they come to the same.
 //! They are judged when all hosts have told theirs ([`SETTLED`]); what is to be judged waits for that.
 
-mod broken;
 mod evidence;
-mod told;
+mod finding;
+mod interruption;
 
-pub use told::{Fact, Told};
+pub use finding::{Fact, Finding};
 
 use super::fingerprint::Fingerprint;
 use super::incarnation::Key;
 use crate::time::Time;
-use broken::{Breaks, Broken};
 use evidence::{Crash, Ends, Suspect};
+use finding::Own;
+use interruption::{Breaks, Interruption};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use told::Own;
 
 /// Ends of servers that show that a request causes them. One may be chance, two may be where many end at once; the users
 /// allow three.
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Verdict {
     /// What was asked.
-    pub asked: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// What becomes of it.
     pub decision: Decision,
     /// Whether this host has seen a part of it itself, and so should have it kept in the store.
@@ -102,8 +102,8 @@
 
 impl Quarantine {
     /// Gives how much longer a request is barred, if it is.
-    pub fn bars(&self, asked: Fingerprint, now: Time) -> Option<Duration> {
-        let until = self.barred.get(&asked)?;
+    pub fn barred_for(&self, fingerprint: Fingerprint, now: Time) -> Option<Duration> {
+        let until = self.barred.get(&fingerprint)?;
         Some(until.left(now)).filter(|left| !left.is_zero())
     }
 
@@ -119,9 +119,9 @@
 
     /// Notes that a server broke a request off, which had run there for `ran` if it had begun. The connection shows only
     /// that it broke: it counts where [`Quarantine::note_ended`] follows.
-    pub fn note_broken(
+    pub fn record_interruption(
         &mut self,
-        asked: Fingerprint,
+        fingerprint: Fingerprint,
         server: Key,
         ran: Option<Duration>,
         now: Time,
@@ -129,8 +129,8 @@
         if ran.is_some_and(|ran| ran > BEGINS) {
             return;
         }
-        self.breaks.add(Broken {
-            asked,
+        self.breaks.add(Interruption {
+            fingerprint,
             server,
             begun: ran.is_some(),
             at: now,
@@ -138,42 +138,42 @@
     }
 
     /// Lists the servers that broke something off lately and are not known to live or to have ended.
-    pub fn in_doubt(&mut self, now: Time) -> BTreeSet<Key> {
+    pub fn unconfirmed_servers(&mut self, now: Time) -> BTreeSet<Key> {
         self.breaks.servers(now)
     }
 
     /// Notes that a server has ended: what it broke off was in its hands then.
-    pub fn note_ended(&mut self, server: Key, now: Time) {
-        for broken in self.breaks.take(server) {
+    pub fn record_server_end(&mut self, server: Key, now: Time) {
+        for interruption in self.breaks.take(server) {
             let crash = Crash {
                 server,
                 at: now,
-                begun: broken.begun,
+                begun: interruption.begun,
             };
-            if self.add(broken.asked, crash, now) {
+            if self.add(interruption.fingerprint, crash, now) {
                 let fact = Fact::crash(&crash);
-                self.own.push(Own::new(broken.asked, fact, now));
+                self.own.push(Own::new(interruption.fingerprint, fact, now));
             }
         }
     }
 
     /// Notes that a server has answered: it lives, whatever it broke off before.
-    pub fn note_alive(&mut self, server: Key) {
+    pub fn record_alive(&mut self, server: Key) {
         self.breaks.take(server);
     }
 
     /// Notes that a request was answered to its end: no end of a server before that was its fault.
-    pub fn note_sound(&mut self, asked: Fingerprint, now: Time) {
-        self.breaks.clear(asked);
-        self.sound.insert(asked, now);
-        if self.clear(asked, now, true) {
-            self.own.push(Own::sound(asked, now, now));
+    pub fn record_success(&mut self, fingerprint: Fingerprint, now: Time) {
+        self.breaks.clear(fingerprint);
+        self.sound.insert(fingerprint, now);
+        if self.clear(fingerprint, now, true) {
+            self.own.push(Own::sound(fingerprint, now, now));
         }
     }
 
     /// Takes what another host tells.
-    pub fn hear(&mut self, told: &Told, now: Time) {
-        match told.fact {
+    pub fn apply_finding(&mut self, finding: &Finding, now: Time) {
+        match finding.fact {
             Fact::Crash {
                 server,
                 begun,
@@ -181,34 +181,34 @@
             } => {
                 let at = now - Duration::from_millis(u64::from(age_ms));
                 let crash = Crash { server, at, begun };
-                self.add(told.asked, crash, now);
+                self.add(finding.fingerprint, crash, now);
             }
             Fact::Sound { age_ms } => {
                 let at = now - Duration::from_millis(u64::from(age_ms));
                 // It may come before the end of which it clears the request.
-                self.make_room(told.asked);
-                self.suspects.entry(told.asked).or_default();
-                self.clear(told.asked, at, false);
+                self.make_room(finding.fingerprint);
+                self.suspects.entry(finding.fingerprint).or_default();
+                self.clear(finding.fingerprint, at, false);
             }
             Fact::Barred { left_s } => {
                 let left = Duration::from_secs(u64::from(left_s)).min(BARRED);
-                self.bar(told.asked, left, now);
+                self.bar(finding.fingerprint, left, now);
             }
         }
     }
 
     /// Takes from the store that a request is barred, and has the others told.
-    pub fn learn(&mut self, asked: Fingerprint, left: Duration, now: Time) {
+    pub fn apply_stored_bar(&mut self, fingerprint: Fingerprint, left: Duration, now: Time) {
         let left = left.min(BARRED);
-        if self.bar(asked, left, now) {
-            self.own.push(Own::new(asked, Fact::barred(), now));
+        if self.bar(fingerprint, left, now) {
+            self.own.push(Own::new(fingerprint, Fact::barred(), now));
         }
     }
 
     /// Takes from the store that a request is barred no more, and has the others told.
-    pub fn release(&mut self, asked: Fingerprint, now: Time) {
-        if self.barred.contains_key(&asked) {
-            self.note_sound(asked, now);
+    pub fn apply_stored_release(&mut self, fingerprint: Fingerprint, now: Time) {
+        if self.barred.contains_key(&fingerprint) {
+            self.record_success(fingerprint, now);
         }
     }
 
@@ -216,24 +216,30 @@
     /// is to be removed again. The rest counts.
     pub fn restore(&mut self, listed: &[(Fingerprint, Duration)], now: Time) {
         let mut stale = Vec::new();
-        for (asked, left) in listed {
-            if left.is_zero() || self.released.contains_key(asked) {
-                stale.push(*asked);
+        for (fingerprint, left) in listed {
+            if left.is_zero() || self.released.contains_key(fingerprint) {
+                stale.push(*fingerprint);
             } else {
-                self.learn(*asked, *left, now);
+                self.apply_stored_bar(*fingerprint, *left, now);
             }
         }
-        let is_listed = |asked: &&Fingerprint| listed.iter().any(|(other, _)| other == *asked);
+        let is_listed =
+            |fingerprint: &&Fingerprint| listed.iter().any(|(other, _)| other == *fingerprint);
         let barred = self.barred.keys();
-        let missing: Vec<Fingerprint> = barred.filter(|asked| !is_listed(asked)).copied().collect();
+        let missing: Vec<Fingerprint> = barred
+            .filter(|fingerprint| !is_listed(fingerprint))
+            .copied()
+            .collect();
         let missing = missing
             .into_iter()
-            .map(|asked| (asked, self.barring(asked)));
-        let stale = stale.into_iter().map(|asked| (asked, Decision::Released));
+            .map(|fingerprint| (fingerprint, self.barring(fingerprint)));
+        let stale = stale
+            .into_iter()
+            .map(|fingerprint| (fingerprint, Decision::Released));
         let verdicts: Vec<Verdict> = missing
             .chain(stale)
-            .map(|(asked, decision)| Verdict {
-                asked,
+            .map(|(fingerprint, decision)| Verdict {
+                fingerprint,
                 decision,
                 first_hand: true,
             })
@@ -242,14 +248,14 @@
     }
 
     /// Gives what the others are to be told now: what is new, and in a `whole` notice also what may have been lost.
-    pub fn tell(&mut self, whole: bool, now: Time) -> Vec<Told> {
+    pub fn findings_to_report(&mut self, whole: bool, now: Time) -> Vec<Finding> {
         /// Facts in a notice: some twenty bytes each, beside its holdings.
         const MOST: usize = 24;
         self.own.retain(|own| own.is_told(now));
         let due = self.own.iter_mut().filter(|own| whole || own.is_new());
         let barred = &self.barred;
         due.take(MOST)
-            .map(|own| own.tell(barred.get(&own.asked()), now))
+            .map(|own| own.tell(barred.get(&own.fingerprint()), now))
             .collect()
     }
 
@@ -259,37 +265,37 @@
     }
 
     /// Says whether a request is judged where one more server ends under it.
-    pub fn suspects(&self, asked: Fingerprint) -> bool {
-        let suspect = self.suspects.get(&asked);
+    pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
+        let suspect = self.suspects.get(&fingerprint);
         suspect.is_some_and(|suspect| suspect.crashes().len() + 1 >= ENOUGH)
     }
 
     /// Says whether a request is about to be judged, and should wait for that. It takes no longer than a moment.
-    pub fn judges(&self, asked: Fingerprint, now: Time) -> bool {
-        let suspect = self.suspects.get(&asked);
+    pub fn is_pending(&self, fingerprint: Fingerprint, now: Time) -> bool {
+        let suspect = self.suspects.get(&fingerprint);
         let soon = suspect.is_some_and(|suspect| {
             suspect.is_judged_after(now - SETTLED) && !suspect.was_sound_after(now - SOUND)
         });
-        soon && !self.barred.contains_key(&asked)
+        soon && !self.barred.contains_key(&fingerprint)
     }
 
     /// Judges by what is settled now: bars who is found guilty, and releases who was barred for another one.
-    pub fn judge(&mut self, now: Time) {
+    pub fn evaluate(&mut self, now: Time) {
         if !self.unjudged {
             return;
         }
         let until = now - SETTLED;
         self.unjudged = self.suspects.values().any(|suspect| suspect.last() > until);
-        let is_barred = |asked| self.barred.contains_key(&asked);
+        let is_barred = |fingerprint| self.barred.contains_key(&fingerprint);
         let judgement = evidence::judge(&self.suspects, &self.ends, is_barred, until);
-        for asked in judgement.guilty {
-            if self.bar(asked, BARRED, now) && self.is_first_hand(asked) {
-                self.own.push(Own::new(asked, Fact::barred(), now));
+        for fingerprint in judgement.guilty {
+            if self.bar(fingerprint, BARRED, now) && self.is_first_hand(fingerprint) {
+                self.own.push(Own::new(fingerprint, Fact::barred(), now));
             }
         }
         // Its ends stay known, and count towards its last.
-        for asked in judgement.innocent {
-            self.unbar(asked, self.is_first_hand(asked), now);
+        for fingerprint in judgement.innocent {
+            self.unbar(fingerprint, self.is_first_hand(fingerprint), now);
         }
     }
 
@@ -300,83 +306,86 @@
         self.sound.retain(|_, at| now.since(*at) < SOUND);
         self.ends.retain(|_, at| now.since(*at) < FORGOTTEN);
         let over = self.barred.iter().filter(|(_, until)| **until <= now);
-        let over: Vec<Fingerprint> = over.map(|(asked, _)| *asked).collect();
-        for asked in over {
-            self.unbar(asked, false, now);
+        let over: Vec<Fingerprint> = over.map(|(fingerprint, _)| *fingerprint).collect();
+        for fingerprint in over {
+            self.unbar(fingerprint, false, now);
         }
         self.released.retain(|_, at| now.since(*at) < FORGOTTEN);
     }
 
     /// Adds an end; says whether it is new and counts.
-    fn add(&mut self, asked: Fingerprint, crash: Crash, now: Time) -> bool {
+    fn add(&mut self, fingerprint: Fingerprint, crash: Crash, now: Time) -> bool {
         if self.ends.len() < MOST_ENDS {
             self.ends.entry(crash.server).or_insert(crash.at);
         }
-        self.make_room(asked);
-        let suspect = self.suspects.entry(asked).or_default();
+        self.make_room(fingerprint);
+        let suspect = self.suspects.entry(fingerprint).or_default();
         let added = suspect.add(crash);
         self.unjudged |= added;
         // Who knows that it was answered lately tells so, where it is suspected.
-        if let Some(at) = self.sound.get(&asked).copied()
+        if let Some(at) = self.sound.get(&fingerprint).copied()
             && suspect.clear(at) | added
         {
-            self.own.push(Own::sound(asked, at, now));
+            self.own.push(Own::sound(fingerprint, at, now));
         }
         added
     }
 
     /// Forgets the request of which least is known, the oldest of those, where another one finds no room.
-    fn make_room(&mut self, asked: Fingerprint) {
-        let known = self.suspects.contains_key(&asked);
+    fn make_room(&mut self, fingerprint: Fingerprint) {
+        let known = self.suspects.contains_key(&fingerprint);
         if known || self.suspects.len() < MOST_SUSPECTS {
             return;
         }
         let suspects = self.suspects.iter();
         let least = suspects.min_by_key(|(_, suspect)| (suspect.crashes().len(), suspect.last()));
-        if let Some(asked) = least.map(|(asked, _)| *asked) {
-            self.suspects.remove(&asked);
+        if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
+            self.suspects.remove(&fingerprint);
         }
     }
 
     /// Clears a request of all ends up to a time; says whether it was suspected of any.
-    fn clear(&mut self, asked: Fingerprint, at: Time, first_hand: bool) -> bool {
-        let barred = self.barred.contains_key(&asked);
+    fn clear(&mut self, fingerprint: Fingerprint, at: Time, first_hand: bool) -> bool {
+        let barred = self.barred.contains_key(&fingerprint);
         let cleared = self
             .suspects
-            .get_mut(&asked)
+            .get_mut(&fingerprint)
             .is_some_and(|suspect| suspect.clear(at));
         if barred {
-            self.unbar(asked, first_hand, at);
+            self.unbar(fingerprint, first_hand, at);
         }
         cleared || barred
     }
 
     /// Bars a request; says whether it was not barred before.
-    fn bar(&mut self, asked: Fingerprint, left: Duration, now: Time) -> bool {
-        if left.is_zero() || self.bars(asked, now).is_some() || self.barred.len() >= MOST_BARRED {
+    fn bar(&mut self, fingerprint: Fingerprint, left: Duration, now: Time) -> bool {
+        if left.is_zero()
+            || self.barred_for(fingerprint, now).is_some()
+            || self.barred.len() >= MOST_BARRED
+        {
             return false;
         }
-        self.barred.insert(asked, now + left);
-        self.released.remove(&asked);
+        self.barred.insert(fingerprint, now + left);
+        self.released.remove(&fingerprint);
         self.verdicts.push(Verdict {
-            asked,
-            decision: self.barring(asked),
-            first_hand: self.is_first_hand(asked),
+            fingerprint,
+            decision: self.barring(fingerprint),
+            first_hand: self.is_first_hand(fingerprint),
         });
         true
     }
 
     /// Gives the decision that bars a request.
-    fn barring(&self, asked: Fingerprint) -> Decision {
-        let suspect = self.suspects.get(&asked);
+    fn barring(&self, fingerprint: Fingerprint) -> Decision {
+        let suspect = self.suspects.get(&fingerprint);
         Decision::Barred(suspect.map_or(0, |suspect| suspect.crashes().len()))
     }
 
-    fn unbar(&mut self, asked: Fingerprint, first_hand: bool, now: Time) {
-        if self.barred.remove(&asked).is_some() {
-            self.released.insert(asked, now);
+    fn unbar(&mut self, fingerprint: Fingerprint, first_hand: bool, now: Time) {
+        if self.barred.remove(&fingerprint).is_some() {
+            self.released.insert(fingerprint, now);
             self.verdicts.push(Verdict {
-                asked,
+                fingerprint,
                 decision: Decision::Released,
                 first_hand,
             });
@@ -384,7 +393,7 @@
     }
 
     /// Says whether this host has a part in what is told of a request.
-    fn is_first_hand(&self, asked: Fingerprint) -> bool {
-        self.own.iter().any(|own| own.asked() == asked)
+    fn is_first_hand(&self, fingerprint: Fingerprint) -> bool {
+        self.own.iter().any(|own| own.fingerprint() == fingerprint)
     }
 }
--- a/crates/alderglade-core/src/fleet/quarantine/evidence.rs
+++ b/crates/alderglade-core/src/fleet/quarantine/evidence.rs
@@ -78,11 +78,15 @@
     }
 
     /// Gives what speaks against it of what happened up to a time.
-    fn accused(&self, asked: Fingerprint, until: Time) -> Accused {
+    fn accused(&self, fingerprint: Fingerprint, until: Time) -> Accused {
         let crashes = self.crashes.iter().filter(|crash| crash.at <= until);
         let begun = crashes.clone().filter(|crash| crash.begun).count();
         let ends: Ends = crashes.map(|crash| (crash.server, crash.at)).collect();
-        Accused { asked, ends, begun }
+        Accused {
+            fingerprint,
+            ends,
+            begun,
+        }
     }
 }
 
@@ -94,7 +98,7 @@
 
 /// What speaks against a request.
 struct Accused {
-    asked: Fingerprint,
+    fingerprint: Fingerprint,
     ends: Ends,
     /// How many of them it is known to have begun to run at.
     begun: usize,
@@ -165,8 +169,8 @@
     let lately = until - SOUND;
     let known = suspects.iter();
     let known = known.filter(|(_, suspect)| !suspect.was_sound_after(lately));
-    let known = known.map(|(asked, suspect)| suspect.accused(*asked, until));
-    let (barred, mut accused): (Vec<_>, Vec<_>) = known.partition(|one| is_barred(one.asked));
+    let known = known.map(|(fingerprint, suspect)| suspect.accused(*fingerprint, until));
+    let (barred, mut accused): (Vec<_>, Vec<_>) = known.partition(|one| is_barred(one.fingerprint));
     let mut explained: Servers = barred
         .iter()
         .flat_map(|one| one.ends.keys())
@@ -177,14 +181,14 @@
     let mut judgement = Judgement::default();
     for one in &accused {
         let lesser = barred.iter().filter(|other| one.explains_more_than(other));
-        let lesser: Vec<Fingerprint> = lesser.map(|other| other.asked).collect();
+        let lesser: Vec<Fingerprint> = lesser.map(|other| other.fingerprint).collect();
         let alone = one.answers_for_enough(&explained) || !lesser.is_empty();
         let answers = alone || one.is_at_its_last();
         let doubtful =
             || is_ambiguous(one, &accused, &explained) || one.is_one_of_many(all, &explained);
         if answers && (one.is_beyond_doubt() || !doubtful()) {
             explained.extend(one.ends.keys());
-            judgement.guilty.push(one.asked);
+            judgement.guilty.push(one.fingerprint);
             judgement.innocent.extend(lesser);
         }
     }
@@ -197,6 +201,7 @@
     let goes_free = |other: &Accused| {
         other.answers_for_enough(explained) && !other.answers_for_enough(&by_this)
     };
-    let as_much = |other: &&Accused| other.asked != one.asked && other.rank() == one.rank();
+    let as_much =
+        |other: &&Accused| other.fingerprint != one.fingerprint && other.rank() == one.rank();
     accused.iter().filter(as_much).any(goes_free)
 }
--- a/crates/alderglade-core/src/fleet/quarantine/told.rs
+++ b/crates/alderglade-core/src/fleet/quarantine/finding.rs
@@ -13,9 +13,9 @@
 
 /// A fact of a request, as told in a notice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Finding {
     /// What was asked.
-    pub asked: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// What is told of it.
     pub fact: Fact,
 }
@@ -63,7 +63,7 @@
 /// A fact that this host tells the others.
 #[derive(Debug)]
 pub(super) struct Own {
-    told: Told,
+    finding: Finding,
     /// When it was so.
     at: Time,
     /// When this host began to tell it.
@@ -74,9 +74,9 @@
 
 impl Own {
     /// Notes a fact of now.
-    pub(super) fn new(asked: Fingerprint, fact: Fact, now: Time) -> Own {
+    pub(super) fn new(fingerprint: Fingerprint, fact: Fact, now: Time) -> Own {
         Own {
-            told: Told { asked, fact },
+            finding: Finding { fingerprint, fact },
             at: now,
             noted: now,
             new: true,
@@ -84,16 +84,16 @@
     }
 
     /// Notes that a request was answered to its end at a time.
-    pub(super) fn sound(asked: Fingerprint, at: Time, now: Time) -> Own {
+    pub(super) fn sound(fingerprint: Fingerprint, at: Time, now: Time) -> Own {
         Own {
             at,
-            ..Own::new(asked, Fact::Sound { age_ms: 0 }, now)
+            ..Own::new(fingerprint, Fact::Sound { age_ms: 0 }, now)
         }
     }
 
     /// Gives what was asked.
-    pub(super) fn asked(&self) -> Fingerprint {
-        self.told.asked
+    pub(super) fn fingerprint(&self) -> Fingerprint {
+        self.finding.fingerprint
     }
 
     /// Says whether nobody was told yet.
@@ -103,14 +103,14 @@
 
     /// Says whether it is still told.
     pub(super) fn is_told(&self, now: Time) -> bool {
-        self.new || now.since(self.noted) < heartbeat::TOLD_FOR
+        self.new || now.since(self.noted) < heartbeat::PLACED_REPORT_TIME
     }
 
     /// Gives the fact as it stands now, and notes that it is told. `barred` is until when the request is barred.
-    pub(super) fn tell(&mut self, barred: Option<&Time>, now: Time) -> Told {
+    pub(super) fn tell(&mut self, barred: Option<&Time>, now: Time) -> Finding {
         self.new = false;
         let age = now.since(self.at);
-        let fact = match self.told.fact {
+        let fact = match self.finding.fact {
             Fact::Crash { server, begun, .. } => Fact::Crash {
                 server,
                 begun,
@@ -125,7 +125,10 @@
                 Fact::Barred { left_s }
             }
         };
-        Told { fact, ..self.told }
+        Finding {
+            fact,
+            ..self.finding
+        }
     }
 }
 
--- a/crates/alderglade-core/src/fleet/quarantine/broken.rs
+++ b/crates/alderglade-core/src/fleet/quarantine/interruption.rs
@@ -14,9 +14,9 @@
 
 /// A request that a server broke off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Broken {
+pub(super) struct Interruption {
     /// What was asked.
-    pub(super) asked: Fingerprint,
+    pub(super) fingerprint: Fingerprint,
     /// The server, in one of its lifetimes.
     pub(super) server: Key,
     /// Whether the request is known to have begun to run there.
@@ -27,31 +27,36 @@
 
 /// The requests that servers broke off lately.
 #[derive(Debug, Default)]
-pub(super) struct Breaks(Vec<Broken>);
+pub(super) struct Breaks(Vec<Interruption>);
 
 impl Breaks {
     /// Adds one; the oldest goes where there are too many.
-    pub(super) fn add(&mut self, broken: Broken) {
+    pub(super) fn add(&mut self, interruption: Interruption) {
         if self.0.len() >= REMEMBERED {
             self.0.remove(0);
         }
-        self.0.push(broken);
+        self.0.push(interruption);
     }
 
     /// Lists the servers that they were at.
     pub(super) fn servers(&mut self, now: Time) -> BTreeSet<Key> {
-        self.0.retain(|broken| now.since(broken.at) < DOUBTFUL);
-        self.0.iter().map(|broken| broken.server).collect()
+        self.0
+            .retain(|interruption| now.since(interruption.at) < DOUBTFUL);
+        self.0
+            .iter()
+            .map(|interruption| interruption.server)
+            .collect()
     }
 
     /// Takes out those of a server.
-    pub(super) fn take(&mut self, server: Key) -> Vec<Broken> {
-        let own = |broken: &mut Broken| broken.server == server;
+    pub(super) fn take(&mut self, server: Key) -> Vec<Interruption> {
+        let own = |interruption: &mut Interruption| interruption.server == server;
         self.0.extract_if(.., own).collect()
     }
 
     /// Drops those of a request.
-    pub(super) fn clear(&mut self, asked: Fingerprint) {
-        self.0.retain(|broken| broken.asked != asked);
+    pub(super) fn clear(&mut self, fingerprint: Fingerprint) {
+        self.0
+            .retain(|interruption| interruption.fingerprint != fingerprint);
     }
 }
--- a/crates/alderglade-core/src/fleet/rate_limit.rs
+++ b/crates/alderglade-core/src/fleet/rate_limit.rs
@@ -35,7 +35,7 @@
 
 /// A limit, as hosts tell each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct LimitReport {
     /// The server.
     pub server: Key,
     /// The requests that it takes in a thousand seconds; `0` where it names no limit any more.
@@ -44,12 +44,12 @@
     pub age_ms: u32,
 }
 
-impl Told {
+impl LimitReport {
     /// Tells what is known of a server's limit.
-    fn new(server: Key, known: &Known, now: Time) -> Told {
+    fn new(server: Key, known: &Known, now: Time) -> LimitReport {
         let rate = known.rate.map_or(0.0, |rate| rate.get() * TOLD_SECONDS);
         let age = now.since(known.as_of).as_millis();
-        Told {
+        LimitReport {
             server,
             per_thousand_s: rate as u32,
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
@@ -72,14 +72,14 @@
     /// The server.
     pub server: Key,
     /// What it knows of the server's limit, which the owner may not have heard of.
-    pub told: Option<Told>,
+    pub report: Option<LimitReport>,
     /// What it knows of the server's cold spell.
-    pub cold: Option<cold::Told>,
+    pub cold: Option<cold::ColdReport>,
 }
 
 /// Who owns a limit, as the host sees it that is asked for a grant.
 #[derive(Debug, Clone, Copy)]
-pub struct View<'a> {
+pub struct OwnerView<'a> {
     /// The host itself.
     pub own: &'a str,
     /// The owner.
@@ -147,7 +147,13 @@
     ///
     /// The word that there is no limit counts only in an answer that was made after the last one that named it: answers
     /// pass each other on their way.
-    pub fn hear(&mut self, server: Key, rate: Option<Rate>, sent: Time, now: Time) -> bool {
+    pub fn observe_limit(
+        &mut self,
+        server: Key,
+        rate: Option<Rate>,
+        sent: Time,
+        now: Time,
+    ) -> bool {
         let before = self.known.get(&server);
         let before_rate = before.and_then(|known| known.rate);
         let as_of = match rate {
@@ -165,35 +171,35 @@
     }
 
     /// Takes another host's word; says whether that is news.
-    pub fn hear_told(&mut self, told: &Told, now: Time) -> bool {
-        let as_of = now - Duration::from_millis(u64::from(told.age_ms));
-        let before = self.known.get(&told.server);
+    pub fn apply_report(&mut self, report: &LimitReport, now: Time) -> bool {
+        let as_of = now - Duration::from_millis(u64::from(report.age_ms));
+        let before = self.known.get(&report.server);
         if before.is_some_and(|known| known.as_of >= as_of) {
             return false;
         }
-        let rate = told.rate();
+        let rate = report.rate();
         let changes = rate != before.and_then(|known| known.rate);
         let known = Known {
             rate,
             as_of,
             first_hand: false,
         };
-        self.known.insert(told.server, known);
+        self.known.insert(report.server, known);
         changes
     }
 
     /// Lists the limits that this host has heard of last from their servers: no more than fit a notice.
-    pub fn told(&self, now: Time) -> Vec<Told> {
+    pub fn reports(&self, now: Time) -> Vec<LimitReport> {
         /// Some 300 bytes.
         const MOST: usize = 24;
         let known = self.known.iter().filter(|(_, known)| known.is_told(now));
-        let told = known.map(|(server, known)| Told::new(*server, known, now));
-        told.take(MOST).collect()
+        let reports = known.map(|(server, known)| LimitReport::new(*server, known, now));
+        reports.take(MOST).collect()
     }
 
     /// Takes that a server is cold for a while and bears only so much; says whether it wasn't known to be. `first_hand` says
     /// whether the server or the store has said so, in which case this host tells the others.
-    pub fn note_cold(
+    pub fn observe_cold(
         &mut self,
         server: Key,
         rate: Rate,
@@ -208,21 +214,21 @@
     }
 
     /// Takes another host's word on a cold server; says whether it wasn't known to be cold.
-    pub fn hear_cold(&mut self, told: &cold::Told, now: Time) -> bool {
-        let Some(rate) = told.rate() else {
+    pub fn apply_cold_report(&mut self, report: &cold::ColdReport, now: Time) -> bool {
+        let Some(rate) = report.rate() else {
             return false;
         };
-        self.note_cold(told.server, rate, told.left(), false, now)
+        self.observe_cold(report.server, rate, report.left(), false, now)
     }
 
     /// Lists the cold servers that this host has heard of from themselves or the store: no more than fit a notice.
-    pub fn told_cold(&self, now: Time) -> Vec<cold::Told> {
+    pub fn cold_reports(&self, now: Time) -> Vec<cold::ColdReport> {
         /// Some 300 bytes.
         const MOST: usize = 24;
         let cold = self.cold.iter();
-        let told = cold.filter(|(_, cold)| cold.is_told(now));
-        let told = told.map(|(server, cold)| cold.tell(*server, now));
-        told.take(MOST).collect()
+        let reports = cold.filter(|(_, cold)| cold.is_told(now));
+        let reports = reports.map(|(server, cold)| cold.tell(*server, now));
+        reports.take(MOST).collect()
     }
 
     /// Gives what a cold server bears; `None` where it isn't cold.
@@ -236,7 +242,7 @@
     }
 
     /// Gives what a server takes now from all hosts together, if there is a bound: its limit, or less where it is cold.
-    pub fn bound(&self, server: Key, now: Time) -> Option<Rate> {
+    pub fn effective_limit(&self, server: Key, now: Time) -> Option<Rate> {
         let bounds = [self.rate(server), self.cold_rate(server, now)];
         let least = |one: Rate, other: Rate| if other < one { other } else { one };
         bounds.into_iter().flatten().reduce(least)
@@ -252,7 +258,7 @@
     pub fn denied_for(&self, server: Key, now: Time) -> Duration {
         let until = self.denied.get(&server);
         let left = until.map_or(Duration::ZERO, |until| until.left(now));
-        if left.is_zero() || self.bound(server, now).is_none() {
+        if left.is_zero() || self.effective_limit(server, now).is_none() {
             return Duration::ZERO;
         }
         left
@@ -260,19 +266,25 @@
 
     /// Notes that this host should not ask for a grant for a while.
     pub fn deny(&mut self, server: Key, wait: Duration, now: Time) {
-        if self.bound(server, now).is_some() {
+        if self.effective_limit(server, now).is_some() {
             self.denied.insert(server, now + wait);
         }
     }
 
     /// Makes the question for a grant; gives `None` where there is no bound on what the server takes.
-    pub fn ask(&self, server: Key, host: &Name, number: u64, now: Time) -> Option<Request> {
-        self.bound(server, now)?;
-        Some(self.question(server, host, number, now))
+    pub fn request_if_limited(
+        &self,
+        server: Key,
+        host: &Name,
+        number: u64,
+        now: Time,
+    ) -> Option<Request> {
+        self.effective_limit(server, now)?;
+        Some(self.request(server, host, number, now))
     }
 
     /// Makes the question for a grant where the owner may know of a bound that this host doesn't.
-    pub fn question(&self, server: Key, host: &Name, number: u64, now: Time) -> Request {
+    pub fn request(&self, server: Key, host: &Name, number: u64, now: Time) -> Request {
         let known = self.known.get(&server).filter(|known| known.rate.is_some());
         let cold = self.cold.get(&server);
         let cold = cold.filter(|cold| cold.rate_at(now).is_some());
@@ -280,28 +292,28 @@
             number,
             host: host.clone(),
             server,
-            told: known.map(|known| Told::new(server, known, now)),
+            report: known.map(|known| LimitReport::new(server, known, now)),
             cold: cold.map(|cold| cold.claim(server, now)),
         }
     }
 
     /// Takes up a limit that its server has just named, as its owner. Nobody owned it before, so that grants may be given out
     /// at once: where all servers of a service name limits in the same moment, callers would be refused until then.
-    pub fn begin(&mut self, server: Key, now: Time) {
+    pub fn take_ownership(&mut self, server: Key, now: Time) {
         self.owned.entry(server).or_insert_with(|| Bucket::new(now));
     }
 
     /// Answers a host's question.
-    pub fn grant(&mut self, request: &Request, view: &View<'_>, now: Time) -> Grant {
+    pub fn grant(&mut self, request: &Request, view: &OwnerView<'_>, now: Time) -> Grant {
         let server = request.server;
-        if let Some(told) = &request.told {
-            self.hear_told(told, now);
+        if let Some(report) = &request.report {
+            self.apply_report(report, now);
         }
-        if let Some(told) = &request.cold {
-            self.hear_cold(told, now);
+        if let Some(report) = &request.cold {
+            self.apply_cold_report(report, now);
         }
         let is_cold = self.cold_rate(server, now).is_some();
-        let wait = match self.bound(server, now) {
+        let wait = match self.effective_limit(server, now) {
             None => Duration::ZERO,
             Some(_) if view.owner != view.own => NOT_OWNER,
             Some(_) if is_cold && !view.majority => NOT_OWNER,
--- a/crates/alderglade-core/src/fleet/rate_limit/bucket.rs
+++ b/crates/alderglade-core/src/fleet/rate_limit/bucket.rs
@@ -9,7 +9,7 @@
 
 /// How long an owner that may follow another one grants nothing: until the hosts that ask the former one have heard that
 /// it is gone or has been followed.
-const SETTLING: Duration = heartbeat::LONGEST;
+const SETTLING: Duration = heartbeat::MAX_INTERVAL;
 /// The grants of how much time may be saved up where nobody asks for them.
 const SAVED: Duration = Duration::from_millis(250);
 /// The longest wait for a grant that a host is told: others may want none any more by then.
--- a/crates/alderglade-core/src/fleet/rate_limit/cold.rs
+++ b/crates/alderglade-core/src/fleet/rate_limit/cold.rs
@@ -34,7 +34,7 @@
 
 /// A cold server, as hosts tell each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct ColdReport {
     /// The server.
     pub server: Key,
     /// The requests that one owner grants in a thousand seconds.
@@ -43,7 +43,7 @@
     pub left_ms: u32,
 }
 
-impl Told {
+impl ColdReport {
     pub(super) fn rate(&self) -> Option<Rate> {
         Rate::per_second(f64::from(self.per_thousand_s) / TOLD_SECONDS)
     }
@@ -87,19 +87,19 @@
     }
 
     /// Gives what the limit's owner is told when it is asked for a grant.
-    pub(super) fn claim(&self, server: Key, now: Time) -> Told {
+    pub(super) fn claim(&self, server: Key, now: Time) -> ColdReport {
         self.lasting(server, self.until, now)
     }
 
     /// Gives what all others are told: what was said, and not what others have told of it.
-    pub(super) fn tell(&self, server: Key, now: Time) -> Told {
+    pub(super) fn tell(&self, server: Key, now: Time) -> ColdReport {
         self.lasting(server, self.said_until, now)
     }
 
-    fn lasting(&self, server: Key, until: Time, now: Time) -> Told {
+    fn lasting(&self, server: Key, until: Time, now: Time) -> ColdReport {
         let rate = self.rate.map_or(0.0, Rate::get) * TOLD_SECONDS;
         let left = until.left(now).as_millis();
-        Told {
+        ColdReport {
             server,
             per_thousand_s: rate as u32,
             left_ms: u32::try_from(left).unwrap_or(u32::MAX),
--- a/crates/alderglade-core/src/fleet/pieces.rs
+++ b/crates/alderglade-core/src/fleet/reassembly.rs
@@ -4,7 +4,7 @@
 //! that isn't told asks the store. A piece tells of which changes it is a part; they count when all pieces are there.
 
 use super::directory::Change;
-use super::message::{Piece, Servers};
+use super::message::{Fragment, Servers};
 use super::position::Position;
 use std::collections::VecDeque;
 
@@ -15,35 +15,38 @@
 
 /// Cuts changes into pieces whose changes take so many bytes at most, as `size` tells for one; gives none where a change is
 /// larger, or there are too many.
-pub fn cut(whole: &Servers, most: usize, size: impl Fn(&Change) -> usize) -> Vec<Servers> {
-    let mut pieces: Vec<Vec<Change>> = Vec::new();
+pub fn split(whole: &Servers, most: usize, size: impl Fn(&Change) -> usize) -> Vec<Servers> {
+    let mut fragments: Vec<Vec<Change>> = Vec::new();
     let mut left = 0;
     for change in &whole.changes {
         let size = size(change);
         if size > most {
             return Vec::new();
         }
-        match pieces.last_mut() {
-            Some(piece) if size <= left => piece.push(change.clone()),
+        match fragments.last_mut() {
+            Some(fragment) if size <= left => fragment.push(change.clone()),
             _ => {
-                pieces.push(vec![change.clone()]);
+                fragments.push(vec![change.clone()]);
                 left = most;
             }
         }
         left -= size;
     }
-    let Ok(of) = u16::try_from(pieces.len()) else {
+    let Ok(of) = u16::try_from(fragments.len()) else {
         return Vec::new();
     };
-    if pieces.len() > MOST {
+    if fragments.len() > MOST {
         return Vec::new();
     }
-    let piece = |(number, changes): (u16, Vec<Change>)| Servers {
-        piece: Piece { number, of },
+    let fragment = |(number, changes): (u16, Vec<Change>)| Servers {
+        fragment: Fragment {
+            index: number,
+            count: of,
+        },
         changes,
         ..whole.clone()
     };
-    (0..of).zip(pieces).map(piece).collect()
+    (0..of).zip(fragments).map(fragment).collect()
 }
 
 /// Changes of which some pieces have come.
@@ -51,25 +54,25 @@
 struct Batch {
     after: Position,
     position: Position,
-    pieces: Vec<Option<Vec<Change>>>,
+    fragments: Vec<Option<Vec<Change>>>,
 }
 
 /// The pieces that a host has been told.
 #[derive(Debug, Default)]
-pub struct Pieces {
+pub struct Reassembly {
     open: VecDeque<Batch>,
 }
 
-impl Pieces {
+impl Reassembly {
     /// Takes a piece; gives all changes where it is the last one missing.
     pub fn take(&mut self, servers: &Servers) -> Option<Vec<Change>> {
         let Servers {
             after,
             position,
-            piece,
+            fragment,
             ..
         } = *servers;
-        let of = usize::from(piece.of);
+        let of = usize::from(fragment.count);
         if of == 1 {
             return Some(servers.changes.clone());
         }
@@ -77,20 +80,20 @@
             return None;
         }
         let is_same = |batch: &Batch| {
-            (batch.after, batch.position) == (after, position) && batch.pieces.len() == of
+            (batch.after, batch.position) == (after, position) && batch.fragments.len() == of
         };
         let place = match self.open.iter().position(is_same) {
             Some(place) => place,
             None => self.begin(after, position, of),
         };
         let batch = self.open.get_mut(place)?;
-        let slot = batch.pieces.get_mut(usize::from(piece.number))?;
+        let slot = batch.fragments.get_mut(usize::from(fragment.index))?;
         *slot = Some(servers.changes.clone());
-        if batch.pieces.iter().any(Option::is_none) {
+        if batch.fragments.iter().any(Option::is_none) {
             return None;
         }
         let batch = self.open.remove(place)?;
-        Some(batch.pieces.into_iter().flatten().flatten().collect())
+        Some(batch.fragments.into_iter().flatten().flatten().collect())
     }
 
     /// Makes room for the pieces of a message; gives its place.
@@ -101,7 +104,7 @@
         self.open.push_back(Batch {
             after,
             position,
-            pieces: vec![None; of],
+            fragments: vec![None; of],
         });
         self.open.len() - 1
     }
--- a/crates/alderglade-core/src/fleet/relay.rs
+++ b/crates/alderglade-core/src/fleet/relay.rs
@@ -11,10 +11,10 @@
 use std::time::Duration;
 
 /// Hosts of a failure domain that watch the store, so that one may be lost unnoticed.
-pub const WATCHERS: usize = 2;
+pub const WATCHERS_PER_DOMAIN: usize = 2;
 /// How long a new host listens for others before it takes a role: two heartbeats of watchers, which come every
 /// 250 ms, and time for the store to list the hosts.
-pub const SETTLE: Duration = Duration::from_millis(700);
+pub const ROLE_DELAY: Duration = Duration::from_millis(700);
 /// How long a host that the store gives no list of hosts waits for it before it listens without.
 const UNLISTED: Duration = Duration::from_millis(2_000);
 /// How much later the next host steps in while there are too few watchers; a heartbeat.
@@ -39,7 +39,7 @@
 
 /// What a host tells of the store in each of its notices.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct StoreStatus {
     /// Whether it watches the store, and the store answers.
     pub in_contact: bool,
     /// The version of its configuration; `0` where it has none.
@@ -50,7 +50,7 @@
     pub era: u64,
     /// How much longer entries may be missing in the store although their servers live, in
     /// milliseconds.
-    pub doubt_ms: u32,
+    pub grace_ms: u32,
     /// How many hosts it knows that there are.
     pub hosts: u32,
 }
@@ -63,14 +63,14 @@
     /// Its failure domain.
     pub domain: &'a Name,
     /// Whether it is of the own failure domain.
-    pub near: bool,
+    pub same_domain: bool,
     /// What it tells.
-    pub word: Word,
+    pub store: StoreStatus,
 }
 
 /// What the deciding host knows itself, to be held against what its neighbours tell.
 #[derive(Debug, Clone, Copy)]
-pub struct Own<'a> {
+pub struct LocalStatus<'a> {
     /// Its name.
     pub name: &'a str,
     /// Its failure domain.
@@ -91,27 +91,27 @@
     pub listed: bool,
 }
 
-impl Own<'_> {
+impl LocalStatus<'_> {
     /// Gives the place of a host in the order in which the hosts of its failure domain watch the store: those of one group after
     /// those of another, and by their names in each.
     fn place<'a>(&self, host: &'a str) -> (u32, &'a str) {
-        (self.division.turn(self.domain, host), host)
+        (self.division.precedence(self.domain, host), host)
     }
 
     /// Lists the hosts one of which is asked at a heartbeat how old its word of the store is: the watchers of the own failure
     /// domain, where one of them is of the own group. Else two hosts of the group ask them, and the others ask these two, so that
     /// a watcher isn't asked by all hosts of a large domain.
-    pub fn sources<'a>(&self, heard: &[Neighbour<'a>], beat: u64) -> Vec<&'a Name> {
+    pub fn confirmation_sources<'a>(&self, heard: &[Neighbour<'a>], beat: u64) -> Vec<&'a Name> {
         /// Heartbeats between two questions to a watcher of the own group.
         const WATCHER_EVERY: u64 = 3;
         /// Heartbeats between two questions to a host that asks a watcher at each of its own.
         const SENIOR_EVERY: u64 = 2;
         let (turn, name) = self.place(self.name);
-        let near = heard.iter().filter(|host| host.near);
+        let near = heard.iter().filter(|host| host.same_domain);
         let (group, others): (Vec<&Neighbour<'a>>, Vec<_>) =
             near.partition(|host| self.place(host.name).0 == turn);
         let watchers = |hosts: &[&Neighbour<'a>]| -> Vec<&'a Name> {
-            let watchers = hosts.iter().filter(|host| host.word.in_contact);
+            let watchers = hosts.iter().filter(|host| host.store.in_contact);
             watchers.map(|host| host.name).collect()
         };
         let of_group = watchers(&group);
@@ -120,10 +120,10 @@
         seniors.sort_unstable();
         let (mut sources, every) = if !of_group.is_empty() || self.division.is_single() {
             (of_group, WATCHER_EVERY)
-        } else if seniors.len() < WATCHERS {
+        } else if seniors.len() < WATCHERS_PER_DOMAIN {
             (watchers(&others), 1)
         } else {
-            seniors.truncate(WATCHERS);
+            seniors.truncate(WATCHERS_PER_DOMAIN);
             (seniors, SENIOR_EVERY)
         };
         if !beat.is_multiple_of(every) {
@@ -155,7 +155,7 @@
 
 /// How the store is asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Errand {
+pub enum StoreQuery {
     /// By a watch that waits for the next change.
     Watch,
     /// By a call that is answered at once, after this time.
@@ -213,31 +213,36 @@
     }
 
     /// Decides the role anew from the hosts heard of. Some of the own failure domain come before this one: it watches where fewer
-    /// than [`WATCHERS`] of them do, and steps in the later the more they are. Of another group, only hosts that watch are heard;
+    /// than [`WATCHERS_PER_DOMAIN`] of them do, and steps in the later the more they are. Of another group, only hosts that watch are heard;
     /// as many of each are taken to be there.
-    pub fn settle(&mut self, own: &Own<'_>, heard: &[Neighbour<'_>], now: Time) -> Role {
+    pub fn decide_role(
+        &mut self,
+        own: &LocalStatus<'_>,
+        heard: &[Neighbour<'_>],
+        now: Time,
+    ) -> Role {
         let first = *self.first.get_or_insert(now);
         if !own.listed && now.since(first) < UNLISTED {
             return self.role;
         }
         let began = *self.began.get_or_insert(now);
-        if now.since(began) < SETTLE {
+        if now.since(began) < ROLE_DELAY {
             return self.role;
         }
         let (turn, name) = own.place(own.name);
-        let near = heard.iter().filter(|host| host.near);
-        let places = near.map(|host| (own.place(host.name), host.word.in_contact));
+        let near = heard.iter().filter(|host| host.same_domain);
+        let places = near.map(|host| (own.place(host.name), host.store.in_contact));
         let senior = places.filter(|(place, _)| *place < (turn, name));
         let watchers = senior.clone().filter(|(_, watches)| *watches).count();
         let of_group = senior.filter(|((other, _), _)| *other == turn).count();
-        let before = of_group + WATCHERS * turn as usize;
-        if watchers >= WATCHERS {
+        let before = of_group + WATCHERS_PER_DOMAIN * turn as usize;
+        if watchers >= WATCHERS_PER_DOMAIN {
             self.lacking_since = None;
             self.role = Role::Follower;
             return self.role;
         }
         let since = *self.lacking_since.get_or_insert(now);
-        if before < WATCHERS || now.since(since) >= step_in(before) {
+        if before < WATCHERS_PER_DOMAIN || now.since(since) >= step_in(before) {
             self.role = Role::Watcher;
         } else if self.role == Role::Unsettled {
             self.role = Role::Follower;
@@ -247,17 +252,17 @@
 
     /// Says whether and how the store should be asked about a topic now. `chance`, from `0.0` to `1.0`,
     /// spreads the calls of many hosts.
-    pub fn errand(
+    pub fn next_query(
         &mut self,
         topic: Topic,
-        own: &Own<'_>,
+        own: &LocalStatus<'_>,
         heard: &[Neighbour<'_>],
         chance: f64,
         now: Time,
-    ) -> Option<Errand> {
-        match self.settle(own, heard, now) {
+    ) -> Option<StoreQuery> {
+        match self.decide_role(own, heard, now) {
             Role::Unsettled => return None,
-            Role::Watcher => return Some(Errand::Watch),
+            Role::Watcher => return Some(StoreQuery::Watch),
             Role::Follower => {}
         }
         let spread = match topic {
@@ -266,13 +271,13 @@
             Topic::Evacuations => self.evacuations_due(own, now),
             Topic::Hosts | Topic::Quarantine => None,
         };
-        spread.map(|spread| Errand::Fetch(spread.mul_f64(chance)))
+        spread.map(|spread| StoreQuery::Fetch(spread.mul_f64(chance)))
     }
 
     /// Gives the time over which the hosts' calls for the configuration are spread, if one is due.
     fn config_due(
         &mut self,
-        own: &Own<'_>,
+        own: &LocalStatus<'_>,
         heard: &[Neighbour<'_>],
         now: Time,
     ) -> Option<Duration> {
@@ -291,7 +296,7 @@
 
     /// Gives the time over which the hosts' calls for the evacuations are spread, if one is due: watchers tell of each, so that
     /// only a host that doesn't hear of them asks.
-    fn evacuations_due(&mut self, own: &Own<'_>, now: Time) -> Option<Duration> {
+    fn evacuations_due(&mut self, own: &LocalStatus<'_>, now: Time) -> Option<Duration> {
         /// Small beside the seconds within which an evacuation must be in force.
         const SPREAD: Duration = Duration::from_millis(200);
         let due = own.is_in_doubt() && may_fetch(&mut self.fetched_evacuations, AGAIN_OLD, now);
@@ -301,7 +306,7 @@
     /// Gives the time over which the hosts' calls for the servers are spread, if one is due.
     fn servers_due(
         &mut self,
-        own: &Own<'_>,
+        own: &LocalStatus<'_>,
         heard: &[Neighbour<'_>],
         now: Time,
     ) -> Option<Duration> {
@@ -309,8 +314,8 @@
         const SPREAD: Duration = Duration::from_millis(200);
         let mut watchers = heard
             .iter()
-            .filter(|host| host.near && host.word.in_contact);
-        if !watchers.any(|host| host.word.servers != own.servers) {
+            .filter(|host| host.same_domain && host.store.in_contact);
+        if !watchers.any(|host| host.store.servers != own.servers) {
             self.different_since = None;
             return None;
         }
@@ -332,7 +337,7 @@
     }
 
     /// Says whether the host's word of the store is so old that it should ask every watcher.
-    pub fn is_old(age: Option<Duration>, bound: Option<Duration>) -> bool {
+    pub fn is_stale(age: Option<Duration>, bound: Option<Duration>) -> bool {
         /// Below the age at which the store itself is asked.
         const EARLIER: f64 = 0.75;
         is_older(age, bound, OLD * EARLIER)
@@ -355,20 +360,20 @@
 }
 
 /// Says whether a watcher has a newer configuration.
-pub fn is_behind(own: &Own<'_>, heard: &[Neighbour<'_>]) -> bool {
+pub fn is_behind(own: &LocalStatus<'_>, heard: &[Neighbour<'_>]) -> bool {
     newest_config(heard).is_some_and(|version| version > own.config)
 }
 
 /// Gives the version of the newest configuration that a watcher has.
 fn newest_config(heard: &[Neighbour<'_>]) -> Option<u64> {
-    let watchers = heard.iter().filter(|host| host.word.in_contact);
-    watchers.map(|host| host.word.config).max()
+    let watchers = heard.iter().filter(|host| host.store.in_contact);
+    watchers.map(|host| host.store.config).max()
 }
 
 /// Gives how long there must have been too few watchers before a host steps in that has so many hosts
 /// before it.
 fn step_in(before: usize) -> Duration {
-    let place = (before + 1).saturating_sub(WATCHERS);
+    let place = (before + 1).saturating_sub(WATCHERS_PER_DOMAIN);
     let soon = place.min(SOON) as u32;
     let late = place.saturating_sub(SOON) as u32;
     STEP_IN * soon + STEP_IN_LATE * late
--- a/crates/alderglade-core/tests/testsuite/fleet/budget.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/budget.rs
@@ -1,7 +1,7 @@
 //! The budget of repeated sends: over all hosts and any window it stays within the bound.
 
 use crate::each_seed;
-use alderglade_core::fleet::budget::{Bound, Budget, REPEAT};
+use alderglade_core::fleet::budget::{Bound, Budget, UNITS_PER_RETRY};
 use alderglade_core::time::Time;
 use std::time::Duration;
 
@@ -78,7 +78,7 @@
 fn a_repeat_that_reached_nobody_is_given_back() {
     let mut budget = Budget::new(BOUND, Time(0));
     while budget.spend(Time(0), 4) {}
-    budget.take_back();
+    budget.refund();
     assert!(budget.spend(Time(0), 4));
     assert!(!budget.spend(Time(0), 4));
 }
@@ -88,11 +88,11 @@
 fn a_repeat_that_is_given_back_is_never_one_that_was_lent() {
     let now = Time(0) + BOUND.window * 3;
     let mut budget = Budget::new(BOUND, Time(0));
-    let whole = budget.own_left(now, 4);
+    let whole = budget.remaining(now, 4);
     assert!(budget.spend(now, 4));
-    assert_eq!(budget.lend(REPEAT, now, 4), REPEAT);
-    budget.take_back();
-    assert_eq!(budget.own_left(now, 4), whole - REPEAT);
-    budget.take_back();
-    assert_eq!(budget.own_left(now, 4), whole - REPEAT);
+    assert_eq!(budget.lend(UNITS_PER_RETRY, now, 4), UNITS_PER_RETRY);
+    budget.refund();
+    assert_eq!(budget.remaining(now, 4), whole - UNITS_PER_RETRY);
+    budget.refund();
+    assert_eq!(budget.remaining(now, 4), whole - UNITS_PER_RETRY);
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/cold.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/cold.rs
@@ -4,7 +4,7 @@
 use super::key;
 use alderglade_core::Name;
 use alderglade_core::fleet::rate_limit::cold::Bound;
-use alderglade_core::fleet::rate_limit::{self, Limits, View};
+use alderglade_core::fleet::rate_limit::{self, Limits, OwnerView};
 use alderglade_core::fleet::statement::Rate;
 use alderglade_core::time::Time;
 use std::collections::VecDeque;
@@ -56,7 +56,7 @@
         let rate = bound().rate(per_second).expect("a bound");
         let host = |number: usize| {
             let mut limits = Limits::default();
-            limits.note_cold(key("e"), rate, SPELL, true, now);
+            limits.observe_cold(key("e"), rate, SPELL, true, now);
             Host {
                 name: format!("h{number}").into(),
                 limits,
@@ -100,7 +100,9 @@
     fn want(&mut self, host: usize) {
         let owner = self.owner(host);
         let asking = &self.hosts[host];
-        let request = asking.limits.ask(key("e"), &asking.name, 1, self.now);
+        let request = asking
+            .limits
+            .request_if_limited(key("e"), &asking.name, 1, self.now);
         let Some(request) = request else {
             return;
         };
@@ -112,7 +114,7 @@
         let own_owner = self.hosts[self.owner(owner)].name.clone();
         let majority = 2 * self.heard(owner).len() > self.hosts.len();
         let granting = &mut self.hosts[owner];
-        let view = View {
+        let view = OwnerView {
             own: &granting.name,
             owner: &own_owner,
             majority,
@@ -181,7 +183,7 @@
                     let host = &mut world.hosts[host];
                     host.up = !host.up;
                     host.limits = Limits::default();
-                    host.limits.note_cold(key("e"), rate, SPELL, true, now);
+                    host.limits.observe_cold(key("e"), rate, SPELL, true, now);
                 }
                 _ => {}
             }
@@ -216,12 +218,15 @@
     let now = Time::from_millis(10_000);
     let rate = |number| Rate::per_second(number).expect("a rate");
     let mut limits = Limits::default();
-    limits.hear(key("e"), Some(rate(4.0)), now, now);
-    assert!(limits.note_cold(key("e"), rate(10.0), SPELL, true, now));
-    assert_eq!(limits.bound(key("e"), now), Some(rate(4.0)));
-    assert!(!limits.note_cold(key("e"), rate(2.0), SPELL, true, now));
-    assert_eq!(limits.bound(key("e"), now), Some(rate(2.0)));
-    assert_eq!(limits.bound(key("e"), now + SPELL), Some(rate(4.0)));
+    limits.observe_limit(key("e"), Some(rate(4.0)), now, now);
+    assert!(limits.observe_cold(key("e"), rate(10.0), SPELL, true, now));
+    assert_eq!(limits.effective_limit(key("e"), now), Some(rate(4.0)));
+    assert!(!limits.observe_cold(key("e"), rate(2.0), SPELL, true, now));
+    assert_eq!(limits.effective_limit(key("e"), now), Some(rate(2.0)));
+    assert_eq!(
+        limits.effective_limit(key("e"), now + SPELL),
+        Some(rate(4.0))
+    );
 }
 
 /// A question tells the owner, which may not have heard of the spell, and hosts tell others what they have from the server.
@@ -230,25 +235,27 @@
     let now = Time::from_millis(10_000);
     let rate = Rate::per_second(3.0).expect("a rate");
     let mut one = Limits::default();
-    one.note_cold(key("e"), rate, SPELL, true, now);
+    one.observe_cold(key("e"), rate, SPELL, true, now);
     let mut other = Limits::default();
-    let request = one.ask(key("e"), &"a".into(), 1, now).expect("a bound");
-    let view = View {
+    let request = one
+        .request_if_limited(key("e"), &"a".into(), 1, now)
+        .expect("a bound");
+    let view = OwnerView {
         own: "other",
         owner: "other",
         majority: true,
     };
     other.grant(&request, &view, now);
-    assert_eq!(other.bound(key("e"), now), Some(rate));
-    assert!(other.told_cold(now).is_empty(), "it has it from one");
+    assert_eq!(other.effective_limit(key("e"), now), Some(rate));
+    assert!(other.cold_reports(now).is_empty(), "it has it from one");
     let mut third = Limits::default();
-    for told in one.told_cold(now) {
-        assert!(third.hear_cold(&told, now));
-        assert!(!third.hear_cold(&told, now));
+    for told in one.cold_reports(now) {
+        assert!(third.apply_cold_report(&told, now));
+        assert!(!third.apply_cold_report(&told, now));
     }
-    assert_eq!(third.bound(key("e"), now), Some(rate));
-    assert_eq!(third.bound(key("e"), now + SPELL), None);
-    assert!(one.told_cold(now + SPELL).is_empty());
+    assert_eq!(third.effective_limit(key("e"), now), Some(rate));
+    assert_eq!(third.effective_limit(key("e"), now + SPELL), None);
+    assert!(one.cold_reports(now + SPELL).is_empty());
 }
 
 /// All hosts start at once, and each has heard of nobody yet.
--- a/crates/alderglade-core/tests/testsuite/fleet/directory.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/directory.rs
@@ -2,7 +2,7 @@
 
 use super::{key, server};
 use crate::each_seed;
-use alderglade_core::fleet::directory::{Change, Directory, GRACE, Listing, Server};
+use alderglade_core::fleet::directory::{Change, Directory, Listing, STORE_RETURN_GRACE, Server};
 use alderglade_core::fleet::faults::Fault;
 use alderglade_core::time::Time;
 use std::time::Duration;
@@ -80,9 +80,12 @@
     directory.store_returned(back, true);
     directory.replace(listing(vec![server("c", false)]), back);
     assert_eq!(usable(&directory), ["a", "b", "c"]);
-    directory.apply(Change::Known(server("a", false)), back + GRACE / 2);
-    assert!(!directory.expire(back + GRACE - Duration::from_millis(1)));
-    assert!(directory.expire(back + GRACE));
+    directory.apply(
+        Change::Known(server("a", false)),
+        back + STORE_RETURN_GRACE / 2,
+    );
+    assert!(!directory.expire(back + STORE_RETURN_GRACE - Duration::from_millis(1)));
+    assert!(directory.expire(back + STORE_RETURN_GRACE));
     assert_eq!(usable(&directory), ["a", "c"]);
 }
 
@@ -93,7 +96,7 @@
     let mut directory = known(&["a", "b"]);
     directory.store_lost();
     directory.store_returned(Time::from_millis(1_000), true);
-    let later = Time::from_millis(1_000) + GRACE;
+    let later = Time::from_millis(1_000) + STORE_RETURN_GRACE;
     directory.apply(Change::Gone("a".into()), later);
     assert_eq!(usable(&directory), ["b"]);
 }
@@ -114,10 +117,10 @@
     directory.store_returned(Time(0), true);
     directory.apply(Change::Gone("a".into()), Time(1));
     directory.store_lost();
-    let back = Time(0) + GRACE * 3;
+    let back = Time(0) + STORE_RETURN_GRACE * 3;
     directory.store_returned(back, true);
-    assert!(!directory.expire(back + GRACE / 2));
-    assert!(directory.expire(back + GRACE));
+    assert!(!directory.expire(back + STORE_RETURN_GRACE / 2));
+    assert!(directory.expire(back + STORE_RETURN_GRACE));
 }
 
 /// However a host has come to know its servers, its digest is that of one that has just listed them.
--- a/crates/alderglade-core/tests/testsuite/fleet/evacuation.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/evacuation.rs
@@ -3,7 +3,7 @@
 use super::chance::Chance;
 use alderglade_core::Name;
 use alderglade_core::fleet::directory::{Change, Directory};
-use alderglade_core::fleet::evacuation::{self, Evacuations, RESTORED, Told};
+use alderglade_core::fleet::evacuation::{self, Evacuations, RESTORED_GRACE, Snapshot};
 use alderglade_core::fleet::position::Position;
 use alderglade_core::time::Time;
 use std::collections::BTreeSet;
@@ -33,25 +33,25 @@
 
 fn listing(names: &[&str], position: Position) -> Evacuations {
     let mut evacuations = Evacuations::default();
-    assert!(!evacuations.are_known());
-    evacuations.take(domains(names), position, NOW);
-    assert!(evacuations.are_known());
+    assert!(!evacuations.is_known());
+    evacuations.replace(domains(names), position, NOW);
+    assert!(evacuations.is_known());
     evacuations
 }
 
-fn told(names: &[&str], position: Position) -> Told {
-    listing(names, position).tell(NOW)
+fn told(names: &[&str], position: Position) -> Snapshot {
+    listing(names, position).snapshot(NOW)
 }
 
 #[test]
 fn only_what_is_later_counts() {
     let mut known = listing(&[], at(10));
-    assert!(known.hear(&told(&["north"], at(20)), NOW));
-    assert!(!known.hear(&told(&[], at(15)), NOW));
-    assert!(!known.change(&[change("north", false)], at(20)));
+    assert!(known.apply_snapshot(&told(&["north"], at(20)), NOW));
+    assert!(!known.apply_snapshot(&told(&[], at(15)), NOW));
+    assert!(!known.apply_changes(&[change("north", false)], at(20)));
     assert_eq!(known.in_force(), domains(&["north"]));
-    assert!(known.change(&[change("north", false)], at(25)));
-    assert!(!known.hear(&told(&["north"], at(20)), NOW));
+    assert!(known.apply_changes(&[change("north", false)], at(25)));
+    assert!(!known.apply_snapshot(&told(&["north"], at(20)), NOW));
     assert_eq!(known.in_force(), domains(&[]));
 }
 
@@ -64,7 +64,7 @@
         change("north", false),
         change("north", true),
     ];
-    assert!(known.change(&changes, at(14)));
+    assert!(known.apply_changes(&changes, at(14)));
     assert_eq!(known.in_force(), domains(&["north"]));
 }
 
@@ -72,24 +72,24 @@
 #[test]
 fn who_knows_nothing_tells_nothing() {
     let mut known = listing(&["north"], at(10));
-    assert!(!known.hear(&Evacuations::default().tell(NOW), NOW));
+    assert!(!known.apply_snapshot(&Evacuations::default().snapshot(NOW), NOW));
     assert_eq!(known.in_force(), domains(&["north"]));
 }
 
 #[test]
 fn an_evacuation_that_a_copy_lacks_holds_until_it_could_be_written_again() {
     let mut known = listing(&["north"], at(100));
-    assert!(!known.take(domains(&[]), copied(50), NOW));
+    assert!(!known.replace(domains(&[]), copied(50), NOW));
     assert_eq!(known.in_force(), domains(&["north"]));
     // Who starts then lists only what the copy holds, and has the rest from others, but for no longer than they.
-    let later = NOW + RESTORED / 2;
+    let later = NOW + RESTORED_GRACE / 2;
     let mut fresh = listing(&[], copied(60));
-    assert!(fresh.hear(&known.tell(later), later));
-    assert!(!known.hear(&fresh.tell(later), later));
+    assert!(fresh.apply_snapshot(&known.snapshot(later), later));
+    assert!(!known.apply_snapshot(&fresh.snapshot(later), later));
     assert_eq!(known.in_force(), domains(&["north"]));
     assert!(!known.expire(later));
-    assert!(known.expire(NOW + RESTORED));
-    assert!(fresh.expire(NOW + RESTORED));
+    assert!(known.expire(NOW + RESTORED_GRACE));
+    assert!(fresh.expire(NOW + RESTORED_GRACE));
     assert_eq!(known.in_force(), domains(&[]));
     assert_eq!(fresh.in_force(), domains(&[]));
 }
@@ -97,11 +97,11 @@
 #[test]
 fn an_evacuation_that_is_written_again_after_a_copy_stays_until_it_is_taken_back() {
     let mut known = listing(&["north"], at(100));
-    known.take(domains(&[]), copied(50), NOW);
-    assert!(!known.change(&[change("north", true)], copied(60)));
-    assert!(!known.expire(NOW + RESTORED * 2));
+    known.replace(domains(&[]), copied(50), NOW);
+    assert!(!known.apply_changes(&[change("north", true)], copied(60)));
+    assert!(!known.expire(NOW + RESTORED_GRACE * 2));
     assert_eq!(known.in_force(), domains(&["north"]));
-    assert!(known.change(&[change("north", false)], copied(61)));
+    assert!(known.apply_changes(&[change("north", false)], copied(61)));
     assert_eq!(known.in_force(), domains(&[]));
 }
 
@@ -109,8 +109,8 @@
 #[test]
 fn what_a_copy_holds_is_in_force() {
     let mut known = listing(&[], at(100));
-    assert!(known.take(domains(&["north"]), copied(50), NOW));
-    assert!(!known.hear(&told(&[], at(100)), NOW));
+    assert!(known.replace(domains(&["north"]), copied(50), NOW));
+    assert!(!known.apply_snapshot(&told(&[], at(100)), NOW));
     assert_eq!(known.in_force(), domains(&["north"]));
 }
 
@@ -123,7 +123,7 @@
         let count = [3, 60, 1_000][chance.host(3)];
         let mut store = domains(&[]);
         let mut hosts: Vec<Evacuations> = (0..count).map(|_| Evacuations::default()).collect();
-        let mut letters: Vec<(usize, Told)> = Vec::new();
+        let mut letters: Vec<(usize, Snapshot)> = Vec::new();
         let mut revision = 1;
         for _ in 0..60 {
             revision += 1 + chance.below(3);
@@ -131,23 +131,23 @@
             if !store.remove(domain) {
                 store.insert(domain.into());
             }
-            hosts[chance.host(count)].take(store.clone(), at(revision), NOW);
+            hosts[chance.host(count)].replace(store.clone(), at(revision), NOW);
             for _ in 0..count.min(40) {
                 let from = chance.host(count);
-                letters.push((chance.host(count), hosts[from].tell(NOW)));
+                letters.push((chance.host(count), hosts[from].snapshot(NOW)));
             }
             if chance.below(4) == 0 {
                 hosts[chance.host(count)] = Evacuations::default();
             }
             for _ in 0..chance.host(letters.len() + 1) {
                 let (to, told) = letters.swap_remove(chance.host(letters.len()));
-                hosts[to].hear(&told, NOW);
+                hosts[to].apply_snapshot(&told, NOW);
             }
         }
-        hosts[0].take(store.clone(), at(revision), NOW);
-        let told = hosts[0].tell(NOW);
+        hosts[0].replace(store.clone(), at(revision), NOW);
+        let told = hosts[0].snapshot(NOW);
         for (number, host) in hosts.iter_mut().enumerate() {
-            host.hear(&told, NOW);
+            host.apply_snapshot(&told, NOW);
             assert_eq!(host.in_force(), store, "seed {seed}, host {number}");
         }
     }
@@ -163,8 +163,8 @@
     directory.evacuate(domains(&["north"]));
     assert!(directory.get(key).is_none());
     assert_eq!(directory.of_service("llm").count(), 0);
-    assert!(directory.sound(key).is_some());
-    assert_eq!(directory.sound_of("llm").count(), 1);
+    assert!(directory.active(key).is_some());
+    assert_eq!(directory.active_of("llm").count(), 1);
     assert_eq!(directory.digest(), digest, "hosts compare servers by it");
     assert_eq!(directory.evacuate(domains(&[])), domains(&["north"]));
     assert!(directory.get(key).is_some());
--- a/crates/alderglade-core/tests/testsuite/fleet/spread.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/fanout.rs
@@ -4,9 +4,9 @@
 use super::{empty_notice, hold, key};
 use crate::each_seed;
 use alderglade_core::Name;
+use alderglade_core::fleet::fanout::{Fanout, fanout};
 use alderglade_core::fleet::load_table::{Load, LoadTable, Notice, ReservationId};
-use alderglade_core::fleet::relay::{Neighbour, Word};
-use alderglade_core::fleet::spread::{Route, route};
+use alderglade_core::fleet::relay::{Neighbour, StoreStatus};
 use alderglade_core::time::Time;
 use arbtest::arbitrary::{Result, Unstructured};
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,40 +25,40 @@
 }
 
 /// The way of a host of the first domain that hears all others.
-fn way(own: &Name, beat: u64, hosts: &[(Name, Name)]) -> Route {
+fn way(own: &Name, beat: u64, hosts: &[(Name, Name)]) -> Fanout {
     let others = hosts.iter().filter(|(name, _)| name != own);
     let heard = others.map(|(name, domain)| Neighbour {
         name,
         domain,
-        near: **domain == *"d0",
-        word: Word::default(),
+        same_domain: **domain == *"d0",
+        store: StoreStatus::default(),
     });
-    route(own, beat, heard)
+    fanout(own, beat, heard)
 }
 
 #[test]
 fn one_host_of_each_large_domain_passes_notices_on() {
     let hosts = hosts(&[5, 59, 4, 3, 1]);
-    let route = way(&name(0, 0), 0, &hosts);
-    let domains: Vec<&str> = route.through.iter().map(|host| &host[..2]).collect();
+    let fanout = way(&name(0, 0), 0, &hosts);
+    let domains: Vec<&str> = fanout.forwarders.iter().map(|host| &host[..2]).collect();
     assert_eq!(domains, ["d1", "d2"], "small ones are told directly");
-    assert_eq!(route.reached.len(), 59 + 4);
+    assert_eq!(fanout.covered.len(), 59 + 4);
     assert!(
-        route
-            .through
+        fanout
+            .forwarders
             .iter()
-            .all(|host| route.reached.contains(host))
+            .all(|host| fanout.covered.contains(host))
     );
 }
 
 #[test]
 fn each_host_has_its_turn_and_senders_share_the_hosts() {
     let hosts = hosts(&[40, 10]);
-    let turns = (0..10).flat_map(|beat| way(&name(0, 0), beat, &hosts).through);
+    let turns = (0..10).flat_map(|beat| way(&name(0, 0), beat, &hosts).forwarders);
     assert_eq!(turns.collect::<BTreeSet<_>>().len(), 10);
     let mut load: BTreeMap<Name, u32> = BTreeMap::new();
     for sender in 0..40 {
-        for host in way(&name(0, sender), 3, &hosts).through {
+        for host in way(&name(0, sender), 3, &hosts).forwarders {
             *load.entry(host).or_default() += 1;
         }
     }
@@ -153,14 +153,14 @@
             ..empty_notice(&host.name, 1, host.sequence)
         };
         let (own, domain) = (host.name.clone(), host.domain.clone());
-        let way = route(&own, beat, host.loads.live_hosts(&domain, now));
+        let way = fanout(&own, beat, host.loads.live_hosts(&domain, now));
         let direct = 0..self.hosts.len();
         let direct =
-            direct.filter(|to| *to != from && !way.reached.contains(&self.hosts[*to].name));
+            direct.filter(|to| *to != from && !way.covered.contains(&self.hosts[*to].name));
         for to in direct.collect::<Vec<_>>() {
             self.send(u, from, to, &notice, now)?;
         }
-        for through in way.through {
+        for through in way.forwarders {
             let through = self.place(&through);
             if !self.send(u, from, through, &notice, now)? {
                 continue;
@@ -168,7 +168,7 @@
             let domain = self.hosts[through].domain.clone();
             let near = self.hosts[through].loads.live_hosts(&domain, now);
             let near: Vec<Name> = near
-                .filter(|host| host.near)
+                .filter(|host| host.same_domain)
                 .map(|host| host.name.clone())
                 .collect();
             for to in near {
--- a/crates/alderglade-core/tests/testsuite/fleet/faults.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/faults.rs
@@ -22,7 +22,7 @@
     faults.clear("a");
     faults.clear("a");
     faults.clear("unknown");
-    assert_eq!(faults.take_news().mended, ["a".into()]);
+    assert_eq!(faults.take_news().resolved, ["a".into()]);
     faults.note(&fault("a", "no address"));
     assert_eq!(faults.take_news().faults.len(), 1, "it was good meanwhile");
 }
@@ -33,8 +33,8 @@
     let both = [fault("a", "none"), fault("b", "none")];
     both.iter().for_each(|fault| faults.note(fault));
     faults.take_news();
-    faults.keep(&both[1..]);
-    assert_eq!(faults.take_news().mended, ["a".into()]);
+    faults.retain(&both[1..]);
+    assert_eq!(faults.take_news().resolved, ["a".into()]);
 }
 
 /// Another writer may put in as many as it likes.
@@ -47,6 +47,6 @@
     let news = faults.take_news();
     assert!(news.faults.len() < 10);
     assert_eq!(news.faults.len() as u64 + news.more, 100_000);
-    faults.keep(&[]);
-    assert!(faults.take_news().mended.len() < 10);
+    faults.retain(&[]);
+    assert!(faults.take_news().resolved.len() < 10);
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/group.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/group.rs
@@ -3,14 +3,16 @@
 use super::{empty_notice, server};
 use alderglade_core::Name;
 use alderglade_core::fleet::directory::Server;
+use alderglade_core::fleet::fanout::{Scope, Sender, fanout};
 use alderglade_core::fleet::group::{Division, Group, Groups};
 use alderglade_core::fleet::heartbeat;
 use alderglade_core::fleet::incarnation::Key;
 use alderglade_core::fleet::load_table::{Holding, Load};
-use alderglade_core::fleet::quarantine::{Fact, Told};
+use alderglade_core::fleet::quarantine::{Fact, Finding};
 use alderglade_core::fleet::rate_limit;
-use alderglade_core::fleet::relay::{Neighbour, Own, Relay, Role, SETTLE, WATCHERS, Word};
-use alderglade_core::fleet::spread::{Concern, Sender, route};
+use alderglade_core::fleet::relay::{
+    LocalStatus, Neighbour, ROLE_DELAY, Relay, Role, StoreStatus, WATCHERS_PER_DOMAIN,
+};
 use alderglade_core::time::Time;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -36,8 +38,8 @@
 
 fn dealt(division: Division, servers: &[Server]) -> Groups {
     let mut groups = Groups::default();
-    groups.divide(division);
-    groups.deal(servers.iter());
+    groups.set_division(division);
+    groups.assign(servers.iter());
     groups
 }
 
@@ -57,7 +59,10 @@
         assert_eq!(division, Division::default(), "{count} hosts");
         let groups = dealt(division, &servers(20));
         let own = servers(20);
-        assert!(own.iter().all(|server| groups.is_shared("h", server.key())));
+        assert!(
+            own.iter()
+                .all(|server| groups.has_server("h", server.key()))
+        );
     }
 }
 
@@ -126,18 +131,18 @@
     let neighbour = |(name, domain): &'a Host| Neighbour {
         name,
         domain,
-        near: *domain == own.1,
-        word: Word {
+        same_domain: *domain == own.1,
+        store: StoreStatus {
             in_contact: watch.contains(name),
-            ..Word::default()
+            ..StoreStatus::default()
         },
     };
     heard.map(neighbour).collect()
 }
 
 /// What a host knows itself.
-fn own_word(host: &Host, division: Division) -> Own<'_> {
-    Own {
+fn own_word(host: &Host, division: Division) -> LocalStatus<'_> {
+    LocalStatus {
         name: &host.0,
         domain: &host.1,
         division,
@@ -164,19 +169,19 @@
         let heard = group.clone().map(|(name, of)| Neighbour {
             name,
             domain: of,
-            near: of == domain,
-            word: Word::default(),
+            same_domain: of == domain,
+            store: StoreStatus::default(),
         });
         let hosts = group.count() + 1;
         let watches = watchers.contains(name);
         let interval = heartbeat::interval(hosts, watches);
         let a_second = 1.0 / interval.as_secs_f64();
-        let way = route(name, 7, heard);
-        let direct = hosts - 1 - way.reached.len() + way.through.len();
+        let way = fanout(name, 7, heard);
+        let direct = hosts - 1 - way.covered.len() + way.forwarders.len();
         *sent.entry(name.clone()).or_default() += a_second * direct as f64;
-        let concern = Concern {
+        let scope = Scope {
             domain: watches,
-            ..Concern::default()
+            ..Scope::default()
         };
         let sender = Sender {
             name,
@@ -184,10 +189,10 @@
             division,
         };
         let listed = all.iter().map(|(name, domain)| (name, domain));
-        let bridges = concern.bridges(&sender, 7, listed);
-        *sent.entry(name.clone()).or_default() += a_second * bridges.len() as f64;
+        let gateways = scope.gateways(&sender, 7, listed);
+        *sent.entry(name.clone()).or_default() += a_second * gateways.len() as f64;
         // Who passes a notice on changes with each heartbeat: each host of a part has its share.
-        for through in way.through.iter().chain(bridges) {
+        for through in way.forwarders.iter().chain(gateways) {
             let (_, of) = all
                 .iter()
                 .find(|(host, _)| host == through)
@@ -217,10 +222,10 @@
     {
         let of = all.iter().filter(|(_, other)| other == domain);
         let mut order: Vec<(u32, &Name)> = of
-            .map(|(name, domain)| (division.turn(domain, name), name))
+            .map(|(name, domain)| (division.precedence(domain, name), name))
             .collect();
         order.sort();
-        let first = order.into_iter().take(WATCHERS);
+        let first = order.into_iter().take(WATCHERS_PER_DOMAIN);
         watchers.extend(first.map(|(_, name)| name.clone()));
     }
     watchers
@@ -254,7 +259,7 @@
     let (name, domain) = &all[3];
     let elsewhere = servers.iter().map(Server::key);
     let elsewhere: Vec<Key> = elsewhere
-        .filter(|key| !groups.is_shared(name, *key))
+        .filter(|key| !groups.has_server(name, *key))
         .collect();
     let holding = Holding {
         server: elsewhere[0],
@@ -268,13 +273,13 @@
         division,
     };
     let listed = || all.iter().map(|(name, domain)| (name, domain));
-    let reached = |concern: &Concern| {
-        let bridges = concern.bridges(&sender, 5, listed());
+    let reached = |scope: &Scope| {
+        let gateways = scope.gateways(&sender, 5, listed());
         let part = |host: &&Name| {
             let (name, domain) = all.iter().find(|(name, _)| name == *host).expect("a host");
             (division.of_host(name), domain.clone())
         };
-        bridges.iter().map(part).collect::<BTreeSet<_>>()
+        gateways.iter().map(part).collect::<BTreeSet<_>>()
     };
     assert!(reached(&notice.scope(&groups)).is_empty());
     notice.holdings.push(holding);
@@ -283,8 +288,8 @@
     let of = groups.of_server(elsewhere[0]);
     assert!(parts.iter().all(|(group, _)| *group == of));
     assert_eq!(notice.for_other_groups(&groups).holdings.len(), 1);
-    notice.quarantine.push(Told {
-        asked: "000000000000000000000001".parse().expect("a digest"),
+    notice.quarantine.push(Finding {
+        fingerprint: "000000000000000000000001".parse().expect("a digest"),
         fact: Fact::Sound { age_ms: 0 },
     });
     let parts = reached(&notice.scope(&groups));
@@ -339,7 +344,7 @@
         for own in &live {
             let heard = heard(&hosts, &self.hosts[*own], self.division, &watch);
             let own_word = own_word(&self.hosts[*own], self.division);
-            let role = self.relays[*own].settle(&own_word, &heard, self.now);
+            let role = self.relays[*own].decide_role(&own_word, &heard, self.now);
             if role == Role::Watcher {
                 self.ever.insert(*own);
             }
@@ -358,12 +363,12 @@
 #[test]
 fn two_hosts_of_each_domain_watch_the_store() {
     let mut election = Election::new(1_000);
-    election.run(SETTLE + Duration::from_secs(3));
+    election.run(ROLE_DELAY + Duration::from_secs(3));
     for domain in 0..DOMAINS {
         let watchers = election.watchers_of(&format!("d{domain}"));
-        assert_eq!(watchers.len(), WATCHERS, "d{domain}");
+        assert_eq!(watchers.len(), WATCHERS_PER_DOMAIN, "d{domain}");
     }
-    assert_eq!(election.ever.len(), DOMAINS * WATCHERS);
+    assert_eq!(election.ever.len(), DOMAINS * WATCHERS_PER_DOMAIN);
     let first = election.watchers_of("d2")[0];
     let group = election.division.of_host(&election.hosts[first].0);
     let of_group = election.live().filter(|host| {
@@ -373,7 +378,7 @@
     election.dead = of_group.collect();
     election.run(Duration::from_secs(3));
     let watchers = election.watchers_of("d2");
-    assert_eq!(watchers.len(), WATCHERS);
+    assert_eq!(watchers.len(), WATCHERS_PER_DOMAIN);
     assert!(watchers.iter().all(|host| !election.dead.contains(host)));
 }
 
@@ -396,7 +401,7 @@
             let own = own_word(host, division);
             let mut any = false;
             for beat in 0..BEATS {
-                let sources = own.sources(&heard, beat);
+                let sources = own.confirmation_sources(&heard, beat);
                 any |= !sources.is_empty();
                 for source in &sources {
                     *asked.entry(source).or_default() += 1.0 / sources.len() as f64;
@@ -404,7 +409,7 @@
             }
             assert!(any || watch.contains(&host.0), "{} asks nobody", host.0);
         }
-        let seconds = heartbeat::SHORTEST.as_secs_f64() * BEATS as f64;
+        let seconds = heartbeat::MIN_INTERVAL.as_secs_f64() * BEATS as f64;
         let most = asked.values().copied().fold(0.0, f64::max) / seconds;
         assert!(most * EXCHANGE < BUDGET, "{count}: {most}");
     }
@@ -425,7 +430,7 @@
             .collect();
         let owner = rate_limit::owner(server, of_group.iter().copied());
         let owner = owner.expect("a host of each group");
-        assert!(groups.is_shared(owner, server));
+        assert!(groups.has_server(owner, server));
         // One that is dead is missed by its group at once, and by others when it gives no answer.
         let rest = of_group.iter().copied().filter(|name| *name != owner);
         let next = rate_limit::owner(server, rest).expect("another one");
--- a/crates/alderglade-core/tests/testsuite/fleet/heartbeat.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/heartbeat.rs
@@ -1,6 +1,6 @@
 //! How often hosts tell each other what they hold.
 
-use alderglade_core::fleet::heartbeat::{Due, LONGEST, SHORTEST, Schedule, interval};
+use alderglade_core::fleet::heartbeat::{Due, MAX_INTERVAL, MIN_INTERVAL, Schedule, interval};
 use alderglade_core::time::Time;
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 
 #[test]
 fn few_hosts_hear_of_each_other_often() {
-    assert_eq!(interval(8, false), SHORTEST);
-    assert_eq!(interval(1, false), SHORTEST);
+    assert_eq!(interval(8, false), MIN_INTERVAL);
+    assert_eq!(interval(1, false), MIN_INTERVAL);
 }
 
 #[test]
@@ -20,12 +20,12 @@
     for hosts in 2..=100 {
         assert!(sent_a_second(hosts) <= 100.0, "{hosts} hosts");
     }
-    assert_eq!(interval(4_000, false), LONGEST);
+    assert_eq!(interval(4_000, false), MAX_INTERVAL);
 }
 
 #[test]
 fn watchers_are_heard_often_whatever_the_number_of_hosts() {
-    assert_eq!(interval(400, true), SHORTEST);
+    assert_eq!(interval(400, true), MIN_INTERVAL);
 }
 
 #[test]
--- a/crates/alderglade-core/tests/testsuite/fleet/homes.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/homes.rs
@@ -11,7 +11,7 @@
 #[test]
 fn one_that_names_no_regions_allows_all() {
     let homes = Homes::of([list(&[]), list(&[])]);
-    assert!(homes.are_everywhere());
+    assert!(homes.is_unrestricted());
     assert!(homes.allow(Some(&"bayern".into())));
     assert!(homes.allow(None));
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/incarnation.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/incarnation.rs
@@ -116,7 +116,7 @@
 fn a_birth_that_becomes_known_ends_nothing() {
     let silent = Incarnation::new("a", None);
     let mut directory = after(&[ready(&silent), ready(&born("a", 1))]);
-    assert!(!directory.is_over(&silent));
+    assert!(!directory.is_superseded(&silent));
     assert!(directory.take_restarts().is_empty());
 }
 
@@ -131,17 +131,20 @@
     assert_eq!(restarts[0].former.incarnation, first);
     assert_eq!(restarts[0].now, second);
     assert!(directory.take_restarts().is_empty());
-    assert!(directory.is_over(&first));
-    assert!(!directory.is_over(&second));
-    assert!(!directory.is_over(&born("b", 0)), "nothing is known of it");
+    assert!(directory.is_superseded(&first));
+    assert!(!directory.is_superseded(&second));
+    assert!(
+        !directory.is_superseded(&born("b", 0)),
+        "nothing is known of it"
+    );
 }
 
 #[test]
 fn a_servers_own_word_of_its_birth_ends_the_former_lifetime() {
     let (first, second) = (born("a", 1), born("a", 2));
     let mut directory = after(&[ready(&first)]);
-    directory.hear_born("a", 2);
-    assert!(directory.is_over(&first));
+    directory.observe_birth("a", 2);
+    assert!(directory.is_superseded(&first));
     assert_eq!(
         open(&directory),
         std::slice::from_ref(&second),
@@ -150,8 +153,8 @@
     // Its former entry stands in the store for a while.
     directory.apply(leaving(&first), Time(0));
     assert_eq!(open(&directory), [second]);
-    directory.hear_born("a", 1);
-    directory.hear_born("unknown", 7);
+    directory.observe_birth("a", 1);
+    directory.observe_birth("unknown", 7);
     assert_eq!(directory.len(), 1);
 }
 
@@ -160,7 +163,7 @@
 fn a_server_out_of_use_that_has_started_again_waits_for_its_entry() {
     let (first, second) = (born("a", 1), born("a", 2));
     let mut directory = after(&[ready(&first), leaving(&first)]);
-    directory.hear_born("a", 2);
+    directory.observe_birth("a", 2);
     assert!(open(&directory).is_empty());
     directory.apply(ready(&second), Time(0));
     assert_eq!(open(&directory), [second]);
@@ -209,11 +212,11 @@
     let (first, second) = (born("a", 1).key(), born("a", 2).key());
     let mut health = Health::default();
     for _ in 0..9 {
-        health.note(first, Outcome::Silent, Time(0));
+        health.record(first, Outcome::Silent, Time(0));
     }
-    health.note_passed_over(first, Time(0));
-    assert!(health.doubted(first, "north", Time(1)));
-    assert!(!health.doubted(second, "north", Time(1)));
+    health.eject(first, Time(0));
+    assert!(health.is_suspect(first, "north", Time(1)));
+    assert!(!health.is_suspect(second, "north", Time(1)));
     assert_eq!(health.failing(second), 0.0);
 
     let mut loads = LoadTable::default();
@@ -361,7 +364,7 @@
                     let living = store.open().into_iter().find(|one| *one.id == *id);
                     let birth = living.and_then(|one| one.born);
                     if let (Some(birth), Some(newest)) = (birth, host.newest.get_mut(&id)) {
-                        host.directory.hear_born(&id, birth);
+                        host.directory.observe_birth(&id, birth);
                         *newest = birth.max(*newest);
                     }
                 }
@@ -394,7 +397,7 @@
             directory.apply(Change::Gone("a".into()), Time(1));
         }
         if u.arbitrary()? {
-            directory.hear_born("a", 2);
+            directory.observe_birth("a", 2);
         }
         if u.arbitrary()? {
             directory.mark_leaving(first.key(), Time(0));
--- a/crates/alderglade-core/tests/testsuite/fleet/load_table.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/load_table.rs
@@ -230,7 +230,7 @@
     let heard = |loads: &LoadTable, at| loads.live_hosts(&domain, at).count();
     assert_eq!(heard(&receiver, Time::from_millis(2_600)), 1);
     assert_eq!(heard(&receiver, Time::from_millis(2_601)), 0);
-    let lapse = heartbeat::lapse(Duration::from_millis(1_000));
+    let lapse = heartbeat::expiry(Duration::from_millis(1_000));
     assert!(receiver.expire(Time(0) + lapse).is_empty());
     assert_eq!(receiver.expire(Time(1) + lapse).len(), 1);
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/loan.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/loan.rs
@@ -3,8 +3,8 @@
 
 use super::chance::Chance;
 use alderglade_core::Name;
-use alderglade_core::fleet::budget::{Bound, Budget, LENT_FOR, REPEAT};
-use alderglade_core::fleet::loan::{Loan, Questions, Request};
+use alderglade_core::fleet::budget::{Bound, Budget, LOAN_LIFETIME, UNITS_PER_RETRY};
+use alderglade_core::fleet::loan::{Loan, LoanRequests, Request};
 use alderglade_core::time::Time;
 use std::time::Duration;
 
@@ -35,14 +35,14 @@
 
 struct Host {
     budget: Budget,
-    questions: Questions,
+    questions: LoanRequests,
 }
 
 impl Host {
     fn start(now: Time, lifetime: u64) -> Host {
         Host {
             budget: Budget::new(BOUND, now),
-            questions: Questions::new(lifetime << 32),
+            questions: LoanRequests::new(lifetime << 32),
         }
     }
 }
@@ -256,7 +256,7 @@
     }
 }
 
-fn answered(questions: &mut Questions, loan: Loan, now: Time) -> u32 {
+fn answered(questions: &mut LoanRequests, loan: Loan, now: Time) -> u32 {
     questions
         .answer(loan, now)
         .map_or(0, |deposit| deposit.part)
@@ -264,8 +264,9 @@
 
 #[test]
 fn an_answer_counts_once_and_in_its_time() {
-    let mut questions = Questions::new(7);
-    let ask = |questions: &mut Questions| questions.ask(&service(), REPEAT, Time(0)).number;
+    let mut questions = LoanRequests::new(7);
+    let ask =
+        |questions: &mut LoanRequests| questions.ask(&service(), UNITS_PER_RETRY, Time(0)).number;
     let number = ask(&mut questions);
     let loan = Loan { number, part: 400 };
     assert!(questions.is_open(number));
@@ -273,7 +274,7 @@
     assert!(!questions.is_open(number));
     assert_eq!(answered(&mut questions, loan, Time(9)), 0, "it came twice");
     let number = ask(&mut questions);
-    let late = Time(0) + LENT_FOR + Duration::from_millis(1);
+    let late = Time(0) + LOAN_LIFETIME + Duration::from_millis(1);
     assert_eq!(
         answered(&mut questions, Loan { number, part: 400 }, late),
         0
@@ -289,16 +290,16 @@
 fn what_is_lent_is_gone_for_its_lender() {
     let now = Time(0) + BOUND.window * 3;
     let mut lender = Budget::new(BOUND, Time(0));
-    let whole = lender.own_left(now, 295);
-    assert!(whole > REPEAT);
+    let whole = lender.remaining(now, 295);
+    assert!(whole > UNITS_PER_RETRY);
     assert_eq!(lender.lend(600, now, 295), 600);
-    assert_eq!(lender.own_left(now, 295), whole - 600);
+    assert_eq!(lender.remaining(now, 295), whole - 600);
     assert_eq!(lender.lend(u32::MAX, now, 295), whole - 600);
     assert_eq!(lender.lend(1, now, 295), 0);
-    let counted = now + LENT_FOR + BOUND.window;
-    assert_eq!(lender.own_left(counted, 295), 0);
+    let counted = now + LOAN_LIFETIME + BOUND.window;
+    assert_eq!(lender.remaining(counted, 295), 0);
     assert_eq!(
-        lender.own_left(counted + Duration::from_millis(1), 295),
+        lender.remaining(counted + Duration::from_millis(1), 295),
         whole
     );
 }
@@ -309,19 +310,19 @@
     let mut budget = Budget::new(BOUND, Time(0));
     while budget.spend(now, 295) {}
     let missing = budget.missing(now, 295);
-    assert!((1..=REPEAT).contains(&missing));
-    budget.deposit(missing - 1, now + LENT_FOR);
+    assert!((1..=UNITS_PER_RETRY).contains(&missing));
+    budget.deposit(missing - 1, now + LOAN_LIFETIME);
     assert!(!budget.spend(now, 295));
-    budget.deposit(1, now + LENT_FOR);
+    budget.deposit(1, now + LOAN_LIFETIME);
     assert!(budget.spend(now, 295));
     assert!(!budget.spend(now, 295));
 }
 
 #[test]
 fn after_asking_in_vain_nobody_is_asked_for_a_moment() {
-    let mut questions = Questions::new(0);
+    let mut questions = LoanRequests::new(0);
     assert!(questions.may_ask("llm", Time(0)));
-    questions.note_in_vain(&service(), Time(0));
+    questions.record_refusal(&service(), Time(0));
     assert!(!questions.may_ask("llm", Time::from_millis(199)));
     assert!(questions.may_ask("llm", Time::from_millis(200)));
     assert!(questions.may_ask("calls", Time(0)));
--- a/crates/alderglade-core/tests/testsuite/fleet/mod.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/mod.rs
@@ -6,8 +6,10 @@
 mod chance;
 mod cold;
 mod config;
+mod connectivity;
 mod directory;
 mod evacuation;
+mod fanout;
 mod faults;
 mod fingerprint;
 mod freshness;
@@ -21,26 +23,24 @@
 mod loan;
 mod message;
 mod pass;
-mod pieces;
 mod placement;
 mod progress;
 mod quarantine;
 mod queue;
 mod rate_limit;
-mod reach;
+mod reassembly;
 mod relay;
 mod restored;
 mod slowdown;
-mod spread;
 mod sse;
 
 use alderglade_core::fleet::directory::Server;
-use alderglade_core::fleet::evacuation::Told;
+use alderglade_core::fleet::evacuation::Snapshot;
 use alderglade_core::fleet::incarnation::{Incarnation, Key};
 use alderglade_core::fleet::load_table::{Load, Notice, Reservation};
 use alderglade_core::fleet::pass::EngineProfile;
 use alderglade_core::fleet::position::Position;
-use alderglade_core::fleet::relay::Word;
+use alderglade_core::fleet::relay::StoreStatus;
 
 /// The figures of the users' engines.
 fn profile() -> EngineProfile {
@@ -86,14 +86,14 @@
         full: false,
         multi_engine_prompts: 0,
         waiting: Vec::new(),
-        store: Word::default(),
+        store: StoreStatus::default(),
         leaving: Vec::new(),
         ejections: Vec::new(),
         unanswered: Vec::new(),
         quarantine: Vec::new(),
         limits: Vec::new(),
         cold: Vec::new(),
-        evacuations: Told::default(),
+        evacuations: Snapshot::default(),
         holdings: Vec::new(),
     }
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/quarantine.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/quarantine.rs
@@ -6,7 +6,7 @@
 use crate::each_seed;
 use alderglade_core::fleet::fingerprint::{Content, Fingerprint};
 use alderglade_core::fleet::incarnation::Key;
-use alderglade_core::fleet::quarantine::{BARRED, Decision, Quarantine, Told};
+use alderglade_core::fleet::quarantine::{BARRED, Decision, Finding, Quarantine};
 use alderglade_core::time::Time;
 use arbtest::arbitrary::{Result, Unstructured};
 use std::time::Duration;
@@ -17,7 +17,7 @@
 /// As long as it takes until an end is judged.
 const SETTLED: Duration = Duration::from_millis(200);
 
-fn asked(body: &str) -> Fingerprint {
+fn fingerprint(body: &str) -> Fingerprint {
     let content = Content {
         workspace: Some("clinic"),
         method: "POST",
@@ -35,13 +35,13 @@
 /// Notes that a server has ended with a request in its hands.
 fn crash(
     quarantine: &mut Quarantine,
-    asked: Fingerprint,
+    fingerprint: Fingerprint,
     server: Key,
     ran: Option<Duration>,
     now: Time,
 ) {
-    quarantine.note_broken(asked, server, ran, now);
-    quarantine.note_ended(server, now);
+    quarantine.record_interruption(fingerprint, server, ran, now);
+    quarantine.record_server_end(server, now);
 }
 
 /// A host that sees everything itself, and its clock.
@@ -55,21 +55,27 @@
     /// A server ends with these requests in its hands, all of which had just begun to run.
     fn ends(&mut self, number: usize, bodies: &[&str]) {
         for body in bodies {
-            self.quarantine
-                .note_broken(asked(body), server(number), SHORTLY, self.now);
+            self.quarantine.record_interruption(
+                fingerprint(body),
+                server(number),
+                SHORTLY,
+                self.now,
+            );
         }
-        self.quarantine.note_ended(server(number), self.now);
+        self.quarantine.record_server_end(server(number), self.now);
         self.pass(SETTLED);
     }
 
     /// Lets time pass and judges.
     fn pass(&mut self, span: Duration) {
         self.now = self.now + span;
-        self.quarantine.judge(self.now);
+        self.quarantine.evaluate(self.now);
     }
 
     fn bars(&self, body: &str) -> bool {
-        self.quarantine.bars(asked(body), self.now).is_some()
+        self.quarantine
+            .barred_for(fingerprint(body), self.now)
+            .is_some()
     }
 }
 
@@ -144,25 +150,29 @@
     for number in 1..4 {
         crash(
             &mut host.quarantine,
-            asked("beside"),
+            fingerprint("beside"),
             server(number),
             SHORTLY,
             now,
         );
-        host.quarantine.judge(now);
+        host.quarantine.evaluate(now);
         now = now + Duration::from_millis(10);
         crash(
             &mut host.quarantine,
-            asked("fatal"),
+            fingerprint("fatal"),
             server(number),
             SHORTLY,
             now,
         );
-        host.quarantine.judge(now);
+        host.quarantine.evaluate(now);
         now = now + Duration::from_millis(300);
     }
-    host.quarantine.judge(now);
-    assert!(host.quarantine.bars(asked("beside"), now).is_none());
+    host.quarantine.evaluate(now);
+    assert!(
+        host.quarantine
+            .barred_for(fingerprint("beside"), now)
+            .is_none()
+    );
 }
 
 #[test]
@@ -172,12 +182,18 @@
     host.ends(2, &["fatal", "beside"]);
     let end = host.now;
     for body in ["fatal", "beside"] {
-        assert!(!host.quarantine.judges(asked(body), end));
-        crash(&mut host.quarantine, asked(body), server(3), SHORTLY, end);
-        assert!(host.quarantine.judges(asked(body), end));
+        assert!(!host.quarantine.is_pending(fingerprint(body), end));
+        crash(
+            &mut host.quarantine,
+            fingerprint(body),
+            server(3),
+            SHORTLY,
+            end,
+        );
+        assert!(host.quarantine.is_pending(fingerprint(body), end));
     }
     host.pass(SETTLED);
-    let judges = |body: &str| host.quarantine.judges(asked(body), host.now);
+    let judges = |body: &str| host.quarantine.is_pending(fingerprint(body), host.now);
     assert!(!judges("fatal") && !judges("beside"));
 }
 
@@ -186,7 +202,7 @@
     let mut host = Host::default();
     for number in 1..4 {
         let now = host.now;
-        let waiting = asked("waiting");
+        let waiting = fingerprint("waiting");
         crash(&mut host.quarantine, waiting, server(number), None, now);
         host.ends(number, &["fatal"]);
     }
@@ -203,7 +219,7 @@
         let now = host.now;
         crash(
             &mut host.quarantine,
-            asked("long"),
+            fingerprint("long"),
             server(number),
             ran,
             now,
@@ -218,7 +234,8 @@
     let mut host = Host::default();
     host.ends(1, &["sound"]);
     host.ends(2, &["sound"]);
-    host.quarantine.note_sound(asked("sound"), host.now);
+    host.quarantine
+        .record_success(fingerprint("sound"), host.now);
     host.pass(Duration::from_millis(1));
     host.ends(3, &["sound"]);
     host.ends(4, &["sound"]);
@@ -227,7 +244,8 @@
     host.ends(5, &["sound"]);
     assert!(host.bars("sound"));
     // One that was on its way is answered all the same.
-    host.quarantine.note_sound(asked("sound"), host.now);
+    host.quarantine
+        .record_success(fingerprint("sound"), host.now);
     assert!(!host.bars("sound"));
 }
 
@@ -237,18 +255,19 @@
     let mut host = Host::default();
     for number in 1..9 {
         let now = host.now;
-        let (asked, server) = (asked("fatal"), server(number));
-        host.quarantine.note_broken(asked, server, SHORTLY, now);
+        let (fingerprint, server) = (fingerprint("fatal"), server(number));
+        host.quarantine
+            .record_interruption(fingerprint, server, SHORTLY, now);
         if number % 2 == 0 {
-            host.quarantine.note_alive(server);
-            host.quarantine.note_ended(server, now);
+            host.quarantine.record_alive(server);
+            host.quarantine.record_server_end(server, now);
         }
         host.pass(SETTLED);
     }
     assert!(!host.bars("fatal"));
-    assert_eq!(host.quarantine.in_doubt(host.now).len(), 4);
+    assert_eq!(host.quarantine.unconfirmed_servers(host.now).len(), 4);
     for number in [1, 3, 5] {
-        host.quarantine.note_ended(server(number), host.now);
+        host.quarantine.record_server_end(server(number), host.now);
     }
     host.pass(SETTLED);
     assert!(host.bars("fatal"), "known late, when their entries went");
@@ -260,10 +279,10 @@
     for number in 1..4 {
         let now = host.now;
         host.quarantine
-            .note_broken(asked("long ago"), server(number), SHORTLY, now);
+            .record_interruption(fingerprint("long ago"), server(number), SHORTLY, now);
     }
     host.pass(Duration::from_secs(10));
-    assert!(host.quarantine.in_doubt(host.now).is_empty());
+    assert!(host.quarantine.unconfirmed_servers(host.now).is_empty());
     (1..4).for_each(|number| host.ends(number, &[]));
     assert!(!host.bars("long ago"));
 }
@@ -291,8 +310,8 @@
     assert!(!host.bars("unlucky"));
     // The others come back and are answered; that their servers ended stays true.
     for number in 0..5 {
-        let other = asked(&format!("other {number}"));
-        host.quarantine.note_sound(other, host.now);
+        let other = fingerprint(&format!("other {number}"));
+        host.quarantine.record_success(other, host.now);
     }
     host.ends(9, &["another"]);
     assert!(!host.bars("unlucky"));
@@ -303,7 +322,8 @@
 fn ends_before_and_after_do_not_make_it_one_of_many() {
     let mut host = Host::default();
     (0..8).for_each(|number| host.ends(number, &["other"]));
-    host.quarantine.note_sound(asked("other"), host.now);
+    host.quarantine
+        .record_success(fingerprint("other"), host.now);
     (10..14).for_each(|number| host.ends(number, &[&format!("other {number}")]));
     host.pass(Duration::from_secs(3));
     (20..23).for_each(|number| host.ends(number, &["fatal"]));
@@ -315,7 +335,8 @@
 fn what_is_asked_often_is_not_barred_while_it_is_answered() {
     let mut host = Host::default();
     host.pass(SETTLED);
-    host.quarantine.note_sound(asked("often"), host.now);
+    host.quarantine
+        .record_success(fingerprint("often"), host.now);
     host.pass(SETTLED);
     let fatal = ["one", "other", "third"];
     for number in 0..18 {
@@ -330,36 +351,46 @@
 fn an_answer_that_is_heard_of_before_the_end_clears_the_request_all_the_same() {
     let now = Time::from_millis(1_000);
     let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
-    crash(&mut there, asked("often"), server(0), SHORTLY, now);
-    let end = there.tell(false, now);
+    crash(&mut there, fingerprint("often"), server(0), SHORTLY, now);
+    let end = there.findings_to_report(false, now);
     let later = now + SETTLED;
-    there.note_sound(asked("often"), later);
-    let answer = there.tell(false, later);
+    there.record_success(fingerprint("often"), later);
+    let answer = there.findings_to_report(false, later);
     let heard = later + SETTLED;
     for told in answer.iter().chain(&end) {
-        here.hear(told, heard);
+        here.apply_finding(told, heard);
     }
-    assert!(!here.suspects(asked("often")));
+    assert!(!here.is_suspect(fingerprint("often")));
     for number in 1..4 {
-        crash(&mut here, asked("often"), server(number), SHORTLY, heard);
+        crash(
+            &mut here,
+            fingerprint("often"),
+            server(number),
+            SHORTLY,
+            heard,
+        );
     }
-    here.judge(heard + SETTLED);
-    assert!(here.bars(asked("often"), heard + SETTLED).is_none());
+    here.evaluate(heard + SETTLED);
+    assert!(
+        here.barred_for(fingerprint("often"), heard + SETTLED)
+            .is_none()
+    );
 }
 
 /// Another host has answered it, and says so when it hears that it is suspected.
 #[test]
 fn who_has_answered_a_request_speaks_for_it() {
     let (mut here, mut there) = (Host::default(), Quarantine::default());
-    there.note_sound(asked("often"), here.now);
+    there.record_success(fingerprint("often"), here.now);
     here.pass(SETTLED);
     for number in 0..6 {
         here.ends(number, &["often"]);
-        let told = here.quarantine.tell(false, here.now);
-        told.iter().for_each(|told| there.hear(told, here.now));
-        let told = there.tell(false, here.now);
+        let told = here.quarantine.findings_to_report(false, here.now);
         told.iter()
-            .for_each(|told| here.quarantine.hear(told, here.now));
+            .for_each(|told| there.apply_finding(told, here.now));
+        let told = there.findings_to_report(false, here.now);
+        told.iter()
+            .for_each(|told| here.quarantine.apply_finding(told, here.now));
         here.pass(SETTLED);
     }
     assert!(!here.bars("often"));
@@ -407,22 +438,22 @@
         host.bars("fatal"),
         "the first two are not forgotten: more is known of it"
     );
-    assert!(host.quarantine.tell(true, host.now).len() <= 24);
+    assert!(host.quarantine.findings_to_report(true, host.now).len() <= 24);
 }
 
 /// Has each host tell each other one what it has to tell; some of it is lost, comes twice or in another order.
 fn exchange(u: &mut Unstructured<'_>, hosts: &mut [Quarantine], now: Time) -> Result<()> {
     for teller in 0..hosts.len() {
-        let mut told = hosts[teller].tell(u.arbitrary()?, now);
+        let mut told = hosts[teller].findings_to_report(u.arbitrary()?, now);
         if u.arbitrary()? {
             told.reverse();
         }
-        let doubled: Vec<Told> = told.iter().chain(&told).copied().collect();
+        let doubled: Vec<Finding> = told.iter().chain(&told).copied().collect();
         for hearer in (0..hosts.len()).filter(|hearer| *hearer != teller) {
             if u.int_in_range(0..=3)? > 0 {
                 doubled
                     .iter()
-                    .for_each(|told| hosts[hearer].hear(told, now));
+                    .for_each(|told| hosts[hearer].apply_finding(told, now));
             }
         }
     }
@@ -438,25 +469,40 @@
         let mut now = Time::from_millis(1_000);
         for end in 0..4 {
             let host = u.int_in_range(0..=3)?;
-            crash(&mut hosts[host], asked("fatal"), server(end), SHORTLY, now);
+            crash(
+                &mut hosts[host],
+                fingerprint("fatal"),
+                server(end),
+                SHORTLY,
+                now,
+            );
             if end > 0 {
                 let host = u.int_in_range(0..=3)?;
-                crash(&mut hosts[host], asked("beside"), server(end), SHORTLY, now);
+                crash(
+                    &mut hosts[host],
+                    fingerprint("beside"),
+                    server(end),
+                    SHORTLY,
+                    now,
+                );
             }
             exchange(u, &mut hosts, now)?;
-            hosts.iter_mut().for_each(|host| host.judge(now));
+            hosts.iter_mut().for_each(|host| host.evaluate(now));
             now = now + Duration::from_millis(u.int_in_range(0..=500)?);
         }
         now = now + SETTLED;
-        let told: Vec<Vec<Told>> = hosts.iter_mut().map(|host| host.tell(true, now)).collect();
+        let told: Vec<Vec<Finding>> = hosts
+            .iter_mut()
+            .map(|host| host.findings_to_report(true, now))
+            .collect();
         for host in &mut hosts {
             let told = told.iter().flatten();
-            told.for_each(|told| host.hear(told, now));
-            host.judge(now);
+            told.for_each(|told| host.apply_finding(told, now));
+            host.evaluate(now);
         }
         for host in &hosts {
-            assert!(host.bars(asked("fatal"), now).is_some());
-            assert!(host.bars(asked("beside"), now).is_none());
+            assert!(host.barred_for(fingerprint("fatal"), now).is_some());
+            assert!(host.barred_for(fingerprint("beside"), now).is_none());
         }
         Ok(())
     });
@@ -467,16 +513,23 @@
 fn what_the_store_says_is_passed_on_and_taken_back() {
     let now = Time::from_millis(500);
     let (mut watcher, mut other) = (Quarantine::default(), Quarantine::default());
-    watcher.learn(asked("fatal"), BARRED, now);
-    let told = watcher.tell(false, now);
-    told.iter().for_each(|told| other.hear(told, now));
-    assert!(other.bars(asked("fatal"), now).is_some());
-    assert!(watcher.tell(false, now).is_empty(), "told once");
-    assert_eq!(watcher.tell(true, now), told, "and in whole notices");
-    watcher.release(asked("fatal"), now);
-    let told = watcher.tell(false, now);
-    told.iter().for_each(|told| other.hear(told, now));
-    assert!(other.bars(asked("fatal"), now).is_none());
+    watcher.apply_stored_bar(fingerprint("fatal"), BARRED, now);
+    let told = watcher.findings_to_report(false, now);
+    told.iter().for_each(|told| other.apply_finding(told, now));
+    assert!(other.barred_for(fingerprint("fatal"), now).is_some());
+    assert!(
+        watcher.findings_to_report(false, now).is_empty(),
+        "told once"
+    );
+    assert_eq!(
+        watcher.findings_to_report(true, now),
+        told,
+        "and in whole notices"
+    );
+    watcher.apply_stored_release(fingerprint("fatal"), now);
+    let told = watcher.findings_to_report(false, now);
+    told.iter().for_each(|told| other.apply_finding(told, now));
+    assert!(other.barred_for(fingerprint("fatal"), now).is_none());
     let verdicts = other.take_verdicts();
     assert!(verdicts.iter().all(|verdict| !verdict.first_hand));
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/rate_limit.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/rate_limit.rs
@@ -3,7 +3,7 @@
 use super::chance::Chance;
 use super::key;
 use alderglade_core::Name;
-use alderglade_core::fleet::rate_limit::{self, Grant, Limits, Request, View};
+use alderglade_core::fleet::rate_limit::{self, Grant, Limits, OwnerView, Request};
 use alderglade_core::fleet::statement::Rate;
 use alderglade_core::time::Time;
 use std::collections::HashMap;
@@ -25,8 +25,8 @@
 }
 
 /// How a host named `own` sees that another one owns the limit.
-fn owned_by(owner: &str) -> View<'_> {
-    View {
+fn owned_by(owner: &str) -> OwnerView<'_> {
+    OwnerView {
         own: "own",
         owner,
         majority: true,
@@ -115,10 +115,11 @@
     fn tell_all(&mut self) {
         let rate = rate(self.run.rate);
         for host in &mut self.hosts {
-            host.limits.hear(key("e"), Some(rate), self.now, self.now);
+            host.limits
+                .observe_limit(key("e"), Some(rate), self.now, self.now);
         }
         let owner = self.owner(0);
-        self.hosts[owner].limits.begin(key("e"), self.now);
+        self.hosts[owner].limits.take_ownership(key("e"), self.now);
     }
 
     fn is_up(&self, host: usize, at: Time) -> bool {
@@ -175,7 +176,7 @@
         self.ups[victim].push((self.now, false));
         self.ups[victim].push((back, true));
         let mut limits = Limits::default();
-        limits.hear(key("e"), Some(rate(self.run.rate)), back, back);
+        limits.observe_limit(key("e"), Some(rate(self.run.rate)), back, back);
         let host = &mut self.hosts[victim];
         host.limits = limits;
         host.up = back;
@@ -194,7 +195,9 @@
         self.numbers += 1;
         let number = self.numbers;
         let asking = &self.hosts[host];
-        let request = asking.limits.ask(key("e"), &asking.name, number, self.now);
+        let request = asking
+            .limits
+            .request_if_limited(key("e"), &asking.name, number, self.now);
         let request = request.expect("a limit");
         let owner = self.owner(host);
         self.hosts[host].open.insert(number, self.now + ANSWER);
@@ -209,7 +212,7 @@
     fn grant(&mut self, host: usize, request: &Request) -> Grant {
         let owner = self.hosts[self.owner(host)].name.clone();
         let granting = &mut self.hosts[host];
-        let view = View {
+        let view = OwnerView {
             own: &granting.name,
             owner: &owner,
             majority: true,
@@ -335,9 +338,11 @@
 fn the_first_owner_grants_at_once() {
     let mut limits = Limits::default();
     let now = Time::from_millis(10_000);
-    limits.hear(key("e"), Some(rate(2.0)), now, now);
-    limits.begin(key("e"), now);
-    let request = limits.ask(key("e"), &"a".into(), 1, now).expect("a limit");
+    limits.observe_limit(key("e"), Some(rate(2.0)), now, now);
+    limits.take_ownership(key("e"), now);
+    let request = limits
+        .request_if_limited(key("e"), &"a".into(), 1, now)
+        .expect("a limit");
     assert_eq!(limits.grant(&request, &owned_by("own"), now).wait_ms, 0);
     assert_eq!(limits.grant(&request, &owned_by("own"), now).wait_ms, 500);
 }
@@ -347,9 +352,11 @@
 fn hosts_that_wait_are_told_different_times() {
     let mut limits = Limits::default();
     let now = Time::from_millis(10_000);
-    limits.hear(key("e"), Some(rate(2.0)), now, now);
+    limits.observe_limit(key("e"), Some(rate(2.0)), now, now);
     let mut wait = |host: &str, now: Time| {
-        let request = limits.ask(key("e"), &host.into(), 1, now).expect("a limit");
+        let request = limits
+            .request_if_limited(key("e"), &host.into(), 1, now)
+            .expect("a limit");
         limits.grant(&request, &owned_by("own"), now).wait_ms
     };
     // An owner begins with nothing: the first grant comes after it has settled, and then one each half second.
@@ -366,10 +373,10 @@
 fn a_host_that_is_not_the_owner_grants_nothing() {
     let mut limits = Limits::default();
     let now = Time::from_millis(10_000);
-    limits.hear(key("e"), Some(rate(100.0)), now, now);
+    limits.observe_limit(key("e"), Some(rate(100.0)), now, now);
     let later = now + ms(5_000);
     let request = limits
-        .ask(key("e"), &"a".into(), 1, later)
+        .request_if_limited(key("e"), &"a".into(), 1, later)
         .expect("a limit");
     assert!(limits.grant(&request, &owned_by("other"), later).wait_ms > 0);
 }
@@ -379,8 +386,10 @@
 fn a_question_tells_the_owner_of_the_limit() {
     let now = Time::from_millis(10_000);
     let mut asking = Limits::default();
-    asking.hear(key("e"), Some(rate(1.0)), now, now);
-    let request = asking.ask(key("e"), &"a".into(), 1, now).expect("a limit");
+    asking.observe_limit(key("e"), Some(rate(1.0)), now, now);
+    let request = asking
+        .request_if_limited(key("e"), &"a".into(), 1, now)
+        .expect("a limit");
     let mut owner = Limits::default();
     assert!(owner.grant(&request, &owned_by("own"), now).wait_ms > 0);
     assert_eq!(owner.rate(key("e")), Some(rate(1.0)));
@@ -391,12 +400,12 @@
 fn only_a_later_answer_ends_a_limit() {
     let mut limits = Limits::default();
     let at = Time::from_millis;
-    assert!(limits.hear(key("e"), Some(rate(3.0)), at(100), at(120)));
-    assert!(!limits.hear(key("e"), None, at(110), at(130)));
+    assert!(limits.observe_limit(key("e"), Some(rate(3.0)), at(100), at(120)));
+    assert!(!limits.observe_limit(key("e"), None, at(110), at(130)));
     assert_eq!(limits.rate(key("e")), Some(rate(3.0)));
-    assert!(limits.hear(key("e"), None, at(125), at(140)));
+    assert!(limits.observe_limit(key("e"), None, at(125), at(140)));
     assert_eq!(limits.rate(key("e")), None);
-    assert!(!limits.hear(key("other"), None, at(125), at(140)));
+    assert!(!limits.observe_limit(key("other"), None, at(125), at(140)));
 }
 
 /// Of two hosts' words the later one counts, and who has heard a later one tells no more.
@@ -405,22 +414,22 @@
     let at = Time::from_millis;
     let mut one = Limits::default();
     let mut other = Limits::default();
-    one.hear(key("e"), Some(rate(3.0)), at(100), at(120));
-    for told in one.told(at(150)) {
-        assert!(other.hear_told(&told, at(152)));
+    one.observe_limit(key("e"), Some(rate(3.0)), at(100), at(120));
+    for told in one.reports(at(150)) {
+        assert!(other.apply_report(&told, at(152)));
     }
     assert_eq!(other.rate(key("e")), Some(rate(3.0)));
     assert!(
-        other.told(at(160)).is_empty(),
+        other.reports(at(160)).is_empty(),
         "it has it from another host"
     );
-    other.hear(key("e"), None, at(200), at(210));
-    for told in other.told(at(220)) {
-        assert!(one.hear_told(&told, at(222)));
+    other.observe_limit(key("e"), None, at(200), at(210));
+    for told in other.reports(at(220)) {
+        assert!(one.apply_report(&told, at(222)));
     }
     assert_eq!(one.rate(key("e")), None);
-    assert!(one.told(at(230)).is_empty());
-    assert!(other.told(at(20_000)).is_empty(), "all know by then");
+    assert!(one.reports(at(230)).is_empty());
+    assert!(other.reports(at(20_000)).is_empty(), "all know by then");
 }
 
 /// A server's entry may lapse while the store is away, and come back in the same lifetime.
@@ -428,7 +437,7 @@
 fn a_limit_outlasts_an_entry_that_lapses() {
     let mut limits = Limits::default();
     let now = Time::from_millis(100_000);
-    limits.hear(key("e"), Some(rate(3.0)), now, now);
+    limits.observe_limit(key("e"), Some(rate(3.0)), now, now);
     limits.retain(|_| false, now + ms(5_000));
     assert!(limits.rate(key("e")).is_some());
     limits.retain(|_| false, now + ms(100_000));
--- a/crates/alderglade-core/tests/testsuite/fleet/relay.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/relay.rs
@@ -2,14 +2,16 @@
 
 use alderglade_core::Name;
 use alderglade_core::fleet::group::Division;
-use alderglade_core::fleet::relay::{Errand, Neighbour, Own, Relay, Role, SETTLE, Topic, Word};
+use alderglade_core::fleet::relay::{
+    LocalStatus, Neighbour, ROLE_DELAY, Relay, Role, StoreQuery, StoreStatus, Topic,
+};
 use alderglade_core::time::Time;
 use std::time::Duration;
 
 const BOUND: Duration = Duration::from_secs(5);
 
-fn own(name: &str) -> Own<'_> {
-    Own {
+fn own(name: &str) -> LocalStatus<'_> {
+    LocalStatus {
         name,
         domain: "north",
         division: Division::default(),
@@ -22,13 +24,13 @@
     }
 }
 
-fn word(in_contact: bool) -> Word {
-    Word {
+fn word(in_contact: bool) -> StoreStatus {
+    StoreStatus {
         in_contact,
         config: 7,
         servers: 70,
         era: 1,
-        doubt_ms: 0,
+        grace_ms: 0,
         hosts: 0,
     }
 }
@@ -37,11 +39,11 @@
 struct Heard {
     domain: Name,
     names: Vec<Name>,
-    words: Vec<Word>,
+    words: Vec<StoreStatus>,
 }
 
 impl Heard {
-    fn telling(words: &[Word]) -> Heard {
+    fn telling(words: &[StoreStatus]) -> Heard {
         let name = |number: usize| format!("h{number}").into();
         Heard {
             domain: "north".into(),
@@ -55,31 +57,34 @@
         both.map(|(name, word)| Neighbour {
             name,
             domain: &self.domain,
-            near: true,
-            word: *word,
+            same_domain: true,
+            store: *word,
         })
         .collect()
     }
 }
 
 /// A relay that has listened for long enough, at the time given back.
-fn settled(own: &Own<'_>, heard: &Heard) -> (Relay, Time) {
+fn settled(own: &LocalStatus<'_>, heard: &Heard) -> (Relay, Time) {
     let mut relay = Relay::default();
     let began = Time::from_millis(1_000);
-    assert_eq!(relay.settle(own, &heard.list(), began), Role::Unsettled);
-    let now = began + SETTLE;
-    relay.settle(own, &heard.list(), now);
+    assert_eq!(
+        relay.decide_role(own, &heard.list(), began),
+        Role::Unsettled
+    );
+    let now = began + ROLE_DELAY;
+    relay.decide_role(own, &heard.list(), now);
     (relay, now)
 }
 
 fn errand(
     relay: &mut Relay,
     topic: Topic,
-    own: &Own<'_>,
+    own: &LocalStatus<'_>,
     heard: &Heard,
     now: Time,
-) -> Option<Errand> {
-    relay.errand(topic, own, &heard.list(), 0.5, now)
+) -> Option<StoreQuery> {
+    relay.next_query(topic, own, &heard.list(), 0.5, now)
 }
 
 #[test]
@@ -88,7 +93,7 @@
     assert_eq!(relay.role(), Role::Watcher);
     for topic in [Topic::Config, Topic::Servers, Topic::Hosts] {
         let errand = errand(&mut relay, topic, &own("h5"), &Heard::telling(&[]), now);
-        assert_eq!(errand, Some(Errand::Watch));
+        assert_eq!(errand, Some(StoreQuery::Watch));
     }
 }
 
@@ -110,10 +115,10 @@
 fn hosts_of_other_domains_dont_count_as_watchers() {
     let heard = Heard::telling(&[word(true), word(true)]);
     let mut list = heard.list();
-    list.iter_mut().for_each(|host| host.near = false);
+    list.iter_mut().for_each(|host| host.same_domain = false);
     let mut relay = Relay::default();
-    relay.settle(&own("h5"), &list, Time::from_millis(0));
-    let role = relay.settle(&own("h5"), &list, Time::from_millis(700));
+    relay.decide_role(&own("h5"), &list, Time::from_millis(0));
+    let role = relay.decide_role(&own("h5"), &list, Time::from_millis(700));
     assert_eq!(role, Role::Watcher);
 }
 
@@ -122,8 +127,14 @@
     let both = Heard::telling(&[word(true), word(true)]);
     let (mut relay, now) = settled(&own("h2"), &both);
     let one = Heard::telling(&[word(true)]);
-    assert_eq!(relay.settle(&own("h2"), &one.list(), now), Role::Watcher);
-    assert_eq!(relay.settle(&own("h2"), &both.list(), now), Role::Follower);
+    assert_eq!(
+        relay.decide_role(&own("h2"), &one.list(), now),
+        Role::Watcher
+    );
+    assert_eq!(
+        relay.decide_role(&own("h2"), &both.list(), now),
+        Role::Follower
+    );
 }
 
 /// The tenth of a second after both watchers were lost in which a host with so many hosts before it steps in.
@@ -134,7 +145,7 @@
     let (mut relay, now) = settled(&own(&name), &calm);
     (0..200u32).find(|tenth| {
         let now = now + Duration::from_millis(100) * *tenth;
-        relay.settle(&own(&name), &outage.list(), now) == Role::Watcher
+        relay.decide_role(&own(&name), &outage.list(), now) == Role::Watcher
     })
 }
 
@@ -146,7 +157,7 @@
 
 #[test]
 fn a_newer_configuration_is_fetched_at_once() {
-    let newer = Word {
+    let newer = StoreStatus {
         config: 9,
         ..word(true)
     };
@@ -154,14 +165,14 @@
     let (mut relay, now) = settled(&own("h5"), &heard);
     let found = errand(&mut relay, Topic::Config, &own("h5"), &heard, now);
     assert!(
-        matches!(found, Some(Errand::Fetch(pause)) if pause < Duration::from_millis(100)),
+        matches!(found, Some(StoreQuery::Fetch(pause)) if pause < Duration::from_millis(100)),
         "{found:?}"
     );
 }
 
 #[test]
 fn servers_that_differ_for_long_are_fetched_now_and_then() {
-    let other = Word {
+    let other = StoreStatus {
         servers: 71,
         ..word(true)
     };
@@ -181,12 +192,12 @@
 fn a_host_whose_word_is_old_asks_the_store_itself() {
     let heard = Heard::telling(&[word(true), word(true)]);
     let (mut relay, now) = settled(&own("h5"), &heard);
-    let old = Own {
+    let old = LocalStatus {
         age: Some(Duration::from_millis(3_700)),
         ..own("h5")
     };
     let first = errand(&mut relay, Topic::Config, &old, &heard, now);
-    assert!(matches!(first, Some(Errand::Fetch(_))), "{first:?}");
+    assert!(matches!(first, Some(StoreQuery::Fetch(_))), "{first:?}");
     assert_eq!(
         errand(&mut relay, Topic::Config, &old, &heard, now),
         None,
--- a/crates/alderglade-core/tests/testsuite/fleet/restored.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/restored.rs
@@ -3,7 +3,9 @@
 
 use super::{empty_notice, server};
 use crate::each_seed;
-use alderglade_core::fleet::directory::{Change, Directory, GRACE, Listing, STALE};
+use alderglade_core::fleet::directory::{
+    Change, Directory, Listing, STALE_ENTRY_HOLD, STORE_RETURN_GRACE,
+};
 use alderglade_core::fleet::fingerprint::{Content, Fingerprint};
 use alderglade_core::fleet::incarnation::Incarnation;
 use alderglade_core::fleet::load_table::LoadTable;
@@ -67,10 +69,10 @@
         (Position::new(1, 90), Position::new(1, 100)),
     ];
     for (after, position) in wrong {
-        assert!(!directory.take_changes(after, &gone, position, now));
+        assert!(!directory.apply_changes(after, &gone, position, now));
     }
     assert_eq!(open(&directory), named(&["a"]));
-    assert!(directory.take_changes(known, &gone, Position::new(1, 101), now));
+    assert!(directory.apply_changes(known, &gone, Position::new(1, 101), now));
 }
 
 #[test]
@@ -92,8 +94,11 @@
     assert_eq!((restored.missing, restored.held_back), (2, 0));
     assert_eq!(directory.take_restored(), None);
     assert_eq!(open(&directory), named(&["a", "b", "c"]));
-    directory.apply(Change::Known(server("b", false)), now + GRACE / 2);
-    directory.expire(now + GRACE);
+    directory.apply(
+        Change::Known(server("b", false)),
+        now + STORE_RETURN_GRACE / 2,
+    );
+    directory.expire(now + STORE_RETURN_GRACE);
     assert_eq!(open(&directory), named(&["a", "b"]));
 }
 
@@ -133,8 +138,8 @@
     directory.apply(Change::Gone("b".into()), Time(0));
     let now = Time::from_millis(3_000);
     directory.take_list(listing(&["a", "b"]), Position::new(2, 40), now);
-    assert!(!directory.expire(now + STALE - Duration::from_millis(1)));
-    assert!(directory.expire(now + STALE));
+    assert!(!directory.expire(now + STALE_ENTRY_HOLD - Duration::from_millis(1)));
+    assert!(directory.expire(now + STALE_ENTRY_HOLD));
     assert_eq!(open(&directory), named(&["a", "b"]));
 }
 
@@ -157,7 +162,7 @@
     assert_eq!(loads.multi_engine_prompts(), 0);
 }
 
-fn asked(body: &str) -> Fingerprint {
+fn fingerprint(body: &str) -> Fingerprint {
     let content = Content {
         workspace: None,
         method: "POST",
@@ -171,19 +176,23 @@
 #[test]
 fn what_the_copy_lacks_of_barred_requests_is_kept_again_and_what_was_released_goes_again() {
     let mut quarantine = Quarantine::default();
-    let [held, released, new] = ["held", "released", "new"].map(asked);
+    let [held, released, new] = ["held", "released", "new"].map(fingerprint);
     let now = Time::from_millis(1_000);
-    quarantine.learn(held, BARRED, now);
-    quarantine.learn(released, BARRED, now);
-    quarantine.release(released, now);
+    quarantine.apply_stored_bar(held, BARRED, now);
+    quarantine.apply_stored_bar(released, BARRED, now);
+    quarantine.apply_stored_release(released, now);
     quarantine.take_verdicts();
     quarantine.restore(&[(released, BARRED), (new, BARRED)], now);
     let verdicts = quarantine.take_verdicts();
-    let of = |asked| verdicts.iter().find(move |verdict| verdict.asked == asked);
+    let of = |fingerprint| {
+        verdicts
+            .iter()
+            .find(move |verdict| verdict.fingerprint == fingerprint)
+    };
     assert!(matches!(of(held), Some(v) if v.decision != Decision::Released && v.first_hand));
     assert!(matches!(of(released), Some(v) if v.decision == Decision::Released && v.first_hand));
-    assert!(quarantine.bars(new, now).is_some());
-    assert!(quarantine.bars(released, now).is_none());
+    assert!(quarantine.barred_for(new, now).is_some());
+    assert!(quarantine.barred_for(released, now).is_none());
 }
 
 /// The store: what stands there, and the history of the present era.
@@ -310,7 +319,7 @@
             directory.take_list(store.listing(), position, now);
         } else {
             let changes = store.since(known.revision);
-            directory.take_changes(known, &changes, position, now);
+            directory.apply_changes(known, &changes, position, now);
             self.told.push(Told::Changes(known, changes, position));
         }
         let told = Told::Known(directory.digest(), directory.position());
@@ -324,7 +333,7 @@
         }
         match u.choose(&self.told)?.clone() {
             Told::Changes(after, changes, position) => {
-                self.hosts[host].take_changes(after, &changes, position, now);
+                self.hosts[host].apply_changes(after, &changes, position, now);
             }
             Told::Known(digest, position) => self.hosts[host].confirm(digest, position),
         }
@@ -354,14 +363,14 @@
         for id in stands.iter().filter(|id| !self.live.contains_key(*id)) {
             self.store.remove(id);
         }
-        let later = now + STALE + GRACE;
+        let later = now + STALE_ENTRY_HOLD + STORE_RETURN_GRACE;
         for host in 0..self.hosts.len() {
             self.follow(host, now);
             self.hosts[host].expire(later);
             self.follow(host, later);
-            self.hosts[host].expire(later + GRACE);
+            self.hosts[host].expire(later + STORE_RETURN_GRACE);
         }
-        later + GRACE
+        later + STORE_RETURN_GRACE
     }
 }
 
--- a/crates/alderglade-serve/src/node.rs
+++ b/crates/alderglade-serve/src/node.rs
@@ -177,7 +177,7 @@
         let state = self.state.borrow();
         let known = state.config.is_some() && !state.directory.is_empty();
         let known = known && self.knows_evacuations(&state);
-        known && !self.is_stopping() && !state.reach.is_cut_off(clock::now())
+        known && !self.is_stopping() && !state.reach.is_disconnected(clock::now())
     }
 
     /// Says whether keys may be trusted now.
@@ -236,9 +236,9 @@
     pub fn note(&self, server: Key, outcome: Outcome) {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
-        state.health.note(server, outcome, now);
+        state.health.record(server, outcome, now);
         if outcome == Outcome::Sound {
-            state.quarantine.note_alive(server);
+            state.quarantine.record_alive(server);
         }
     }
 
@@ -252,7 +252,7 @@
         let (key, slots) = (server.key(), i64::from(server.slots));
         let may_be_full = key == asked.key() && state.loads.total(key).running >= slots;
         if !may_be_full {
-            state.health.note_passed_over(key, clock::now());
+            state.health.eject(key, clock::now());
             self.loads_changed.notify_one();
             event::write(&Record::ServerRefusing {
                 server: server.id(),
@@ -269,7 +269,7 @@
 
     /// Says whether a server is known, listed and not leaving, whether new work may go to its failure domain or not.
     pub fn is_sound(&self, key: Key) -> bool {
-        self.state.borrow().directory.sound(key).is_some()
+        self.state.borrow().directory.active(key).is_some()
     }
 
     /// Gives a server that new work may go to.
@@ -305,7 +305,7 @@
     fn set_gauges(&self, state: &mut State, now: Time) {
         let metrics = &self.metrics;
         metrics.repeats_left.set(self.repeats_left(state, now));
-        let passed_over = state.health.passed_over(now) as i64;
+        let passed_over = state.health.ejected_count(now) as i64;
         metrics.passed_over.set(passed_over);
         metrics.limited.set(state.limits.count() as i64);
         metrics.hosts.set(state.loads.host_count() as i64);
--- a/crates/alderglade-serve/src/node/catch_up.rs
+++ b/crates/alderglade-serve/src/node/catch_up.rs
@@ -62,17 +62,17 @@
         let state = self.state.borrow();
         let own = state.config_version();
         let heard = state.loads.live_hosts(&self.settings.domain, now);
-        let newest = heard.clone().map(|host| host.word.config).max();
+        let newest = heard.clone().map(|host| host.store.config).max();
         let Some(newest) = newest.filter(|newest| *newest > own) else {
             return Vec::new();
         };
         let source = |host: Neighbour<'_>| {
             Some(Source {
                 address: state.hosts.get(host.name)?,
-                near: host.near,
+                near: host.same_domain,
             })
         };
-        let newer = heard.filter(|host| host.word.config == newest);
+        let newer = heard.filter(|host| host.store.config == newest);
         newer.filter_map(source).collect()
     }
 }
--- a/crates/alderglade-serve/src/node/choice.rs
+++ b/crates/alderglade-serve/src/node/choice.rs
@@ -66,13 +66,13 @@
 ) -> bool {
     let elsewhere = server.domain != *own_domain;
     let cut_off = elsewhere && loads.is_domain_silent(&server.domain, now);
-    cut_off || health.doubted(server.key(), own_domain, now)
+    cut_off || health.is_suspect(server.key(), own_domain, now)
 }
 
 impl Node {
     /// Says whether a request with these homes may run at a server.
     pub fn is_home(&self, homes: &Homes, server: &Server) -> bool {
-        homes.are_everywhere() || homes.allow(self.settings.regions.get(&server.domain))
+        homes.is_unrestricted() || homes.allow(self.settings.regions.get(&server.domain))
     }
 
     /// Says why no server of a service takes a request with these homes now; `None` where one does.
@@ -93,7 +93,7 @@
         let (kind, after) = match opens_in {
             Some(after) => (ErrorKind::Overloaded, after),
             None => {
-                let mut known = directory.sound_of(service).peekable();
+                let mut known = directory.active_of(service).peekable();
                 let exists = known.peek().is_some();
                 if known.any(|server| self.is_home(homes, server)) {
                     (ErrorKind::NoCapacity, EVACUATED)
--- a/crates/alderglade-serve/src/node/cold.rs
+++ b/crates/alderglade-serve/src/node/cold.rs
@@ -5,7 +5,7 @@
 use crate::event::{self, Record};
 use alderglade_core::fleet::directory::{Cold, Server};
 use alderglade_core::fleet::incarnation::Key;
-use alderglade_core::fleet::rate_limit::cold::Told;
+use alderglade_core::fleet::rate_limit::cold::ColdReport;
 use alderglade_core::fleet::statement::Rate;
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
     pub(super) fn note_cold_domain(&self, domain: &str) {
         let cold_servers: Vec<Cold> = {
             let state = self.state.borrow();
-            let servers = state.directory.sound_in(domain);
+            let servers = state.directory.active_in(domain);
             servers
                 .filter_map(|server| state.as_started(server))
                 .collect()
@@ -42,7 +42,7 @@
     pub(super) fn note_cold_restart(&self, server: Key) {
         let cold = {
             let state = self.state.borrow();
-            let known = state.directory.sound(server);
+            let known = state.directory.active(server);
             known.and_then(|known| state.as_started(known))
         };
         if let Some(cold) = cold {
@@ -64,7 +64,7 @@
             };
             let now = clock::now();
             let limits = &mut state.limits;
-            limits.note_cold(cold.server, rate, cold.span, first_hand, now)
+            limits.observe_cold(cold.server, rate, cold.span, first_hand, now)
         };
         if news {
             self.tell_cold(cold.server, cold.span);
@@ -72,12 +72,12 @@
     }
 
     /// Takes what peers tell of cold servers. The entry of one that isn't known yet will say it, too.
-    pub fn hear_cold(&self, cold: &[Told]) {
+    pub fn hear_cold(&self, cold: &[ColdReport]) {
         for told in cold {
             let news = {
                 let mut state = self.state.borrow_mut();
                 let known = state.directory.knows(told.server);
-                known && state.limits.hear_cold(told, clock::now())
+                known && state.limits.apply_cold_report(told, clock::now())
             };
             if news {
                 self.tell_cold(told.server, told.left());
@@ -95,7 +95,7 @@
     /// Writes that a server is cold, and has peers told.
     fn tell_cold(&self, server: Key, span: Duration) {
         let state = self.state.borrow();
-        if let Some(known) = state.directory.sound(server) {
+        if let Some(known) = state.directory.active(server) {
             event::write(&Record::ServerCold {
                 server: known.id(),
                 for_ms: span.as_millis() as u64,
--- a/crates/alderglade-serve/src/node/consultation.rs
+++ b/crates/alderglade-serve/src/node/consultation.rs
@@ -2,7 +2,7 @@
 
 use super::{Letter, Node};
 use crate::clock;
-use alderglade_core::fleet::message::{Ask, Message};
+use alderglade_core::fleet::message::{ConfirmationRequest, Message};
 use rand::seq::IteratorRandom;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -77,7 +77,7 @@
         let asked = others.into_iter().sample(&mut rand::rng(), most);
         let asked_us = clock::now().0;
         for to in &asked {
-            let message = Message::Ask(Ask { asked_us });
+            let message = Message::ConfirmationRequest(ConfirmationRequest { asked_us });
             self.write_letter(Letter { to: *to, message });
         }
         asked.len()
--- a/crates/alderglade-serve/src/node/evacuation.rs
+++ b/crates/alderglade-serve/src/node/evacuation.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::event::{self, Record};
 use alderglade_core::Name;
-use alderglade_core::fleet::evacuation::{Change, Evacuations, Told};
+use alderglade_core::fleet::evacuation::{Change, Evacuations, Snapshot};
 use alderglade_core::fleet::position::Position;
 use alderglade_core::time::Time;
 use std::collections::BTreeSet;
@@ -12,23 +12,23 @@
 impl Node {
     /// Says whether this host knows which failure domains are evacuated, or the deployment has no evacuations.
     pub(super) fn knows_evacuations(&self, state: &State) -> bool {
-        self.settings.evacuation.is_none() || state.evacuations.are_known()
+        self.settings.evacuation.is_none() || state.evacuations.is_known()
     }
 
     /// Takes all failure domains that the store lists as evacuated.
     pub(super) fn take_evacuations(&self, domains: BTreeSet<Name>, position: Position) {
-        self.edit_evacuations(|evacuations, now| evacuations.take(domains, position, now));
+        self.edit_evacuations(|evacuations, now| evacuations.replace(domains, position, now));
         self.learnt.notify_waiters();
     }
 
     /// Takes what has changed in the store.
     pub(super) fn change_evacuations(&self, changes: &[Change], position: Position) {
-        self.edit_evacuations(|evacuations, _| evacuations.change(changes, position));
+        self.edit_evacuations(|evacuations, _| evacuations.apply_changes(changes, position));
     }
 
     /// Takes what another host knows.
-    pub fn hear_evacuations(&self, told: &Told) {
-        self.edit_evacuations(|evacuations, now| evacuations.hear(told, now));
+    pub fn hear_evacuations(&self, snapshot: &Snapshot) {
+        self.edit_evacuations(|evacuations, now| evacuations.apply_snapshot(snapshot, now));
     }
 
     fn edit_evacuations(&self, edit: impl FnOnce(&mut Evacuations, Time) -> bool) {
--- a/crates/alderglade-serve/src/node/faults.rs
+++ b/crates/alderglade-serve/src/node/faults.rs
@@ -41,7 +41,7 @@
         }
         let count = news.faults.len() as u64 + news.more;
         self.metrics.unreadable.inc_by(count);
-        for name in &news.mended {
+        for name in &news.resolved {
             event::write(&Record::EntryMended { of, name });
         }
     }
--- a/crates/alderglade-serve/src/node/groups.rs
+++ b/crates/alderglade-serve/src/node/groups.rs
@@ -26,7 +26,7 @@
     pub fn shared_leavers(&self, state: &State) -> Vec<Key> {
         let own = &self.settings.host;
         let mut leaving = state.directory.leaving();
-        leaving.retain(|server| state.groups.is_shared(own, *server));
+        leaving.retain(|server| state.groups.has_server(own, *server));
         leaving
     }
 
@@ -35,9 +35,9 @@
         let state = self.state.borrow();
         let own = &self.settings.host;
         let hosts = state.hosts.names();
-        let hosts = hosts.filter(|name| state.groups.are_together(own, name));
+        let hosts = hosts.filter(|name| state.groups.same_group(own, name));
         let servers = state.directory.all().map(Server::key);
-        let servers = servers.filter(|server| state.groups.is_shared(own, *server));
+        let servers = servers.filter(|server| state.groups.has_server(own, *server));
         event::write(&Record::Grouped {
             groups: state.groups.division().groups(),
             hosts: hosts.count(),
@@ -52,7 +52,7 @@
     fn regroup(&mut self) -> bool {
         let told = self.told_hosts.filter(|_| !self.watches_store());
         let hosts = told.unwrap_or(self.hosts.len());
-        let changed = self.groups.divide(Division::of_hosts(hosts));
+        let changed = self.groups.set_division(Division::of_hosts(hosts));
         if changed {
             self.note_engines();
         }
@@ -69,8 +69,8 @@
     /// while none of them is heard.
     fn hear_listed(&mut self, domain: &Name, now: Time) {
         let heard = self.loads.live_hosts(domain, now);
-        let watchers = heard.filter(|host| host.near && host.word.in_contact);
-        let told = watchers.map(|host| host.word.hosts as usize).max();
+        let watchers = heard.filter(|host| host.same_domain && host.store.in_contact);
+        let told = watchers.map(|host| host.store.hosts as usize).max();
         self.told_hosts = told.or(self.told_hosts);
     }
 
@@ -82,6 +82,6 @@
         now: Time,
     ) -> impl Iterator<Item = Neighbour<'a>> + Clone {
         let heard = self.loads.live_hosts(domain, now);
-        heard.filter(move |other| self.groups.are_together(host, other.name))
+        heard.filter(move |other| self.groups.same_group(host, other.name))
     }
 }
--- a/crates/alderglade-serve/src/node/outbox.rs
+++ b/crates/alderglade-serve/src/node/outbox.rs
@@ -8,11 +8,11 @@
 use alderglade_core::Name;
 use alderglade_core::fleet::config::{Config, Patch};
 use alderglade_core::fleet::directory::Change;
+use alderglade_core::fleet::fanout::{self, Scope, Sender};
 use alderglade_core::fleet::load_table::Notice;
-use alderglade_core::fleet::message::{Host, Learnt, Message, Piece, Servers};
-use alderglade_core::fleet::pieces;
+use alderglade_core::fleet::message::{Fragment, Host, Message, Servers, StoreUpdate};
 use alderglade_core::fleet::position::Position;
-use alderglade_core::fleet::spread::{self, Concern, Sender};
+use alderglade_core::fleet::reassembly;
 use std::net::SocketAddr;
 
 /// The largest message that is passed on, in bytes; below the usual size of a packet. Where more has changed, hosts ask
@@ -59,14 +59,14 @@
         let Some(patch) = Patch::between(old, new) else {
             return;
         };
-        self.pass_on(Learnt::Config(patch));
+        self.pass_on(StoreUpdate::Config(patch));
     }
 
     /// Puts what was learnt into the outbox, if it fits a packet.
-    fn pass_on(&self, learnt: Learnt) {
-        let length = postcard::to_stdvec(&learnt).map(|bytes| bytes.len());
+    fn pass_on(&self, update: StoreUpdate) {
+        let length = postcard::to_stdvec(&update).map(|bytes| bytes.len());
         match length {
-            Ok(length) if length <= LARGEST => self.state.borrow_mut().outbox.push(learnt),
+            Ok(length) if length <= LARGEST => self.state.borrow_mut().outbox.push(update),
             Ok(length) => log::debug!("{length} bytes have changed; hosts ask the store"),
             Err(error) => log::warn!("a change can't be written: {error}"),
         }
@@ -74,23 +74,23 @@
 
     /// Has changes of backend servers passed on to the hosts of the own domain, if this host watches.
     pub(super) fn tell_changes(&self, after: Position, position: Position, changes: &[Change]) {
-        let doubt_ms = {
+        let grace_ms = {
             let state = self.state.borrow();
             if changes.is_empty() || !state.watches_store() {
                 return;
             }
-            state.doubt_ms(clock::now())
+            state.grace_ms(clock::now())
         };
         let whole = Servers {
             after,
             position,
-            doubt_ms,
-            piece: Piece::WHOLE,
+            grace_ms,
+            fragment: Fragment::WHOLE,
             changes: changes.to_vec(),
         };
         let size = |change: &Change| postcard::to_stdvec(change).map_or(usize::MAX, |b| b.len());
-        for piece in pieces::cut(&whole, LARGEST - AROUND, size) {
-            self.pass_on(Learnt::Servers(piece));
+        for fragment in reassembly::split(&whole, LARGEST - AROUND, size) {
+            self.pass_on(StoreUpdate::Servers(fragment));
         }
     }
 
@@ -105,12 +105,12 @@
     }
 
     /// Gives what the hosts of the own failure domain have not been told yet.
-    pub fn take_outbox(&self) -> Vec<Learnt> {
+    pub fn take_outbox(&self) -> Vec<StoreUpdate> {
         /// Hosts in one message, some 40 bytes each.
         const EACH: usize = 24;
         let new_hosts = std::mem::take(&mut self.state.borrow_mut().new_hosts);
         for some in new_hosts.chunks(EACH) {
-            self.pass_on(Learnt::Hosts(some.to_vec()));
+            self.pass_on(StoreUpdate::Hosts(some.to_vec()));
         }
         std::mem::take(&mut self.state.borrow_mut().outbox)
     }
@@ -121,12 +121,12 @@
         let own = &self.settings.host;
         let state = self.state.borrow();
         let heard = state.heard_in_group(own, &self.settings.domain, now);
-        let route = spread::route(own, beat, heard);
+        let fanout = fanout::fanout(own, beat, heard);
         let left_out = |name: &Name| {
-            let elsewhere = !state.groups.are_together(own, name);
-            name == own || elsewhere || route.reached.contains(name)
+            let elsewhere = !state.groups.same_group(own, name);
+            name == own || elsewhere || fanout.covered.contains(name)
         };
-        let through = route.through.iter();
+        let through = fanout.forwarders.iter();
         Ways {
             direct: state.hosts.addresses_but(left_out),
             through: through.filter_map(|name| state.hosts.get(name)).collect(),
@@ -140,22 +140,22 @@
         notice: &Notice,
         beat: u64,
     ) -> Option<(Notice, Vec<SocketAddr>)> {
-        let concern = notice.scope(&self.state.borrow().groups);
-        let bridges = self.bridges(&concern, beat);
+        let scope = notice.scope(&self.state.borrow().groups);
+        let gateways = self.gateways(&scope, beat);
         let state = self.state.borrow();
-        (!bridges.is_empty()).then(|| (notice.for_other_groups(&state.groups), bridges))
+        (!gateways.is_empty()).then(|| (notice.for_other_groups(&state.groups), gateways))
     }
 
     /// Gives the hosts of other groups that pass on in the own failure domain what the store has told.
-    pub fn domain_bridges(&self, beat: u64) -> Vec<SocketAddr> {
-        let concern = Concern {
+    pub fn domain_gateways(&self, beat: u64) -> Vec<SocketAddr> {
+        let scope = Scope {
             domain: true,
-            ..Concern::default()
+            ..Scope::default()
         };
-        self.bridges(&concern, beat)
+        self.gateways(&scope, beat)
     }
 
-    fn bridges(&self, concern: &Concern, beat: u64) -> Vec<SocketAddr> {
+    fn gateways(&self, scope: &Scope, beat: u64) -> Vec<SocketAddr> {
         let state = self.state.borrow();
         if state.groups.division().is_single() {
             return Vec::new();
@@ -165,8 +165,10 @@
             domain: &self.settings.domain,
             division: state.groups.division(),
         };
-        let bridges = concern.bridges(&sender, beat, state.hosts.placed());
-        let addresses = bridges.into_iter().filter_map(|name| state.hosts.get(name));
+        let gateways = scope.gateways(&sender, beat, state.hosts.placed());
+        let addresses = gateways
+            .into_iter()
+            .filter_map(|name| state.hosts.get(name));
         addresses.collect()
     }
 
@@ -175,16 +177,16 @@
         let now = clock::now();
         let state = self.state.borrow();
         let heard = state.heard_in_group(&self.settings.host, &self.settings.domain, now);
-        let near = heard.filter(|host| host.near);
+        let near = heard.filter(|host| host.same_domain);
         near.filter_map(|host| state.hosts.get(host.name)).collect()
     }
 
     /// Takes what a peer has learnt that watches the store.
-    pub fn take_learnt(&self, learnt: &Learnt) {
-        match learnt {
-            Learnt::Servers(servers) => self.take_servers(servers),
-            Learnt::Config(patch) => self.take_patch(patch),
-            Learnt::Hosts(hosts) => {
+    pub fn take_learnt(&self, update: &StoreUpdate) {
+        match update {
+            StoreUpdate::Servers(servers) => self.take_servers(servers),
+            StoreUpdate::Config(patch) => self.take_patch(patch),
+            StoreUpdate::Hosts(hosts) => {
                 let known = &mut self.state.borrow_mut().hosts;
                 hosts
                     .iter()
@@ -201,15 +203,17 @@
         let Servers {
             after, position, ..
         } = *servers;
-        if !state.directory.lacks(after, position) {
+        if !state.directory.needs_changes(after, position) {
             return;
         }
-        state.take_doubt(servers.doubt_ms);
+        state.take_grace(servers.grace_ms);
         let Some(changes) = state.pieces.take(servers) else {
             return;
         };
         let now = clock::now();
-        state.directory.take_changes(after, &changes, position, now);
+        state
+            .directory
+            .apply_changes(after, &changes, position, now);
         drop(state);
         self.tell_servers();
         self.loads_changed.notify_one();
