--- a/crates/alderglade-serve/src/node/permit.rs
+++ b/crates/alderglade-serve/src/node/permit.rs
@@ -9,7 +9,7 @@
 use alderglade_core::fleet::incarnation::Key;
 use alderglade_core::fleet::message::Message;
 use alderglade_core::fleet::placement::Plan;
-use alderglade_core::fleet::rate_limit::{self, Grant, Request, View};
+use alderglade_core::fleet::rate_limit::{self, Grant, OwnerView, Request};
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -122,7 +122,7 @@
         /// A process that was killed is back by then.
         const SPAN: Duration = Duration::from_millis(5_000);
         let mut state = self.state.borrow_mut();
-        let together = state.groups.are_together(&self.settings.host, &owner);
+        let together = state.groups.same_group(&self.settings.host, &owner);
         if !together {
             state.silent.note(owner, SPAN, clock::now());
         }
@@ -133,7 +133,7 @@
     fn deny(&self, server: Key, wait: Duration) {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
-        if state.groups.is_shared(&self.settings.host, server) {
+        if state.groups.has_server(&self.settings.host, server) {
             state.limits.deny(server, wait, now);
         } else {
             state.backoffs.note(server, wait, now);
@@ -164,7 +164,11 @@
     /// Says whether a permit still holds: the server may have said something of itself since.
     pub fn honours(&self, permit: &Permit) -> bool {
         let now = clock::now();
-        let limited = self.state.borrow().limits.bound(permit.server, now);
+        let limited = self
+            .state
+            .borrow()
+            .limits
+            .effective_limit(permit.server, now);
         let limited = limited.is_some();
         (permit.granted || !limited) && self.takes_work(permit.server)
     }
@@ -191,10 +195,10 @@
         let request = {
             let state = self.state.borrow();
             let (limits, number) = (&state.limits, rand::random());
-            if state.groups.is_shared(own, server) {
-                limits.ask(server, own, number, now)
+            if state.groups.has_server(own, server) {
+                limits.request_if_limited(server, own, number, now)
             } else {
-                Some(limits.question(server, own, number, now))
+                Some(limits.request(server, own, number, now))
             }
         };
         let question = request.map(|request| self.ask_owner(request));
@@ -210,7 +214,7 @@
             let grant = self.grant(&request);
             self.take_grant(grant);
         } else if let Some(to) = to {
-            let message = Message::Claim(request);
+            let message = Message::GrantRequest(request);
             self.write_letter(Letter { to, message });
         } else {
             log::debug!("{owner} can't be asked for a grant: no address");
@@ -221,11 +225,11 @@
     /// Answers a host that wants to send a request to a server with a limit.
     pub fn grant(&self, request: &Request) -> Grant {
         let own = &self.settings.host;
-        if !self.state.borrow().groups.is_shared(own, request.server) {
+        if !self.state.borrow().groups.has_server(own, request.server) {
             return Grant::not_owner(request);
         }
         let owner = self.limit_owner(request.server);
-        let view = View {
+        let view = OwnerView {
             own,
             owner: &owner,
             majority: self.hears_majority(),
@@ -243,7 +247,7 @@
         let heard = heard.count() + 1;
         let listed = self.consultation.knows_hosts().then(|| {
             let listed = state.hosts.names();
-            let of_group = listed.filter(|name| state.groups.are_together(own, name));
+            let of_group = listed.filter(|name| state.groups.same_group(own, name));
             of_group.count()
         });
         rate_limit::is_majority(heard, listed)
@@ -259,7 +263,7 @@
         let now = clock::now();
         let own = &self.settings.host;
         let state = self.state.borrow();
-        let owner = if state.groups.is_shared(own, server) {
+        let owner = if state.groups.has_server(own, server) {
             let heard = state.heard_in_group(own, &self.settings.domain, now);
             rate_limit::owner(server, heard.map(|host| host.name).chain([own]))
         } else {
--- a/crates/alderglade-serve/src/node/quarantine.rs
+++ b/crates/alderglade-serve/src/node/quarantine.rs
@@ -5,7 +5,7 @@
 use crate::event::{self, Record};
 use alderglade_core::fleet::fingerprint::Fingerprint;
 use alderglade_core::fleet::incarnation::Key;
-use alderglade_core::fleet::quarantine::{Decision, Quarantine, Told, Verdict};
+use alderglade_core::fleet::quarantine::{Decision, Finding, Quarantine, Verdict};
 use alderglade_core::time::Time;
 use std::time::Duration;
 
@@ -14,46 +14,58 @@
 
 impl Node {
     /// Gives how much longer a request is sent to no server, if it is barred.
-    pub fn bars(&self, asked: Fingerprint) -> Option<Duration> {
-        self.state.borrow().quarantine.bars(asked, clock::now())
+    pub fn bars(&self, fingerprint: Fingerprint) -> Option<Duration> {
+        self.state
+            .borrow()
+            .quarantine
+            .barred_for(fingerprint, clock::now())
     }
 
     /// Says whether a request is suspected: one more end under it, and it is judged.
-    pub fn suspects(&self, asked: Fingerprint) -> bool {
-        self.state.borrow().quarantine.suspects(asked)
+    pub fn suspects(&self, fingerprint: Fingerprint) -> bool {
+        self.state.borrow().quarantine.is_suspect(fingerprint)
     }
 
     /// Notes that a server broke a request off, which had run there for `ran` if it had begun.
-    pub fn note_broken(&self, asked: Fingerprint, server: Key, ran: Option<Duration>) {
-        self.with_quarantine(|quarantine, now| quarantine.note_broken(asked, server, ran, now));
+    pub fn note_broken(&self, fingerprint: Fingerprint, server: Key, ran: Option<Duration>) {
+        self.with_quarantine(|quarantine, now| {
+            quarantine.record_interruption(fingerprint, server, ran, now)
+        });
     }
 
     /// Notes that a server has ended.
     pub fn note_ended(&self, server: Key) {
-        self.with_quarantine(|quarantine, now| quarantine.note_ended(server, now));
+        self.with_quarantine(|quarantine, now| quarantine.record_server_end(server, now));
         self.loads_changed.notify_one();
     }
 
     /// Notes that a request was answered to its end.
-    pub fn note_sound(&self, asked: Fingerprint) {
-        self.with_quarantine(|quarantine, now| quarantine.note_sound(asked, now));
+    pub fn note_sound(&self, fingerprint: Fingerprint) {
+        self.with_quarantine(|quarantine, now| quarantine.record_success(fingerprint, now));
     }
 
     /// Takes what another host tells of such requests.
-    pub fn hear_quarantine(&self, told: &[Told]) {
-        if told.is_empty() {
+    pub fn hear_quarantine(&self, finding: &[Finding]) {
+        if finding.is_empty() {
             return;
         }
         self.with_quarantine(|quarantine, now| {
-            told.iter().for_each(|told| quarantine.hear(told, now));
+            finding
+                .iter()
+                .for_each(|finding| quarantine.apply_finding(finding, now));
         });
     }
 
     /// Waits while a request is about to be judged.
-    pub async fn judged(&self, asked: Fingerprint) {
-        while self.state.borrow().quarantine.judges(asked, clock::now()) {
+    pub async fn judged(&self, fingerprint: Fingerprint) {
+        while self
+            .state
+            .borrow()
+            .quarantine
+            .is_pending(fingerprint, clock::now())
+        {
             tokio::time::sleep(LOOK_AGAIN).await;
-            self.with_quarantine(Quarantine::judge);
+            self.with_quarantine(Quarantine::evaluate);
         }
     }
 
@@ -63,7 +75,7 @@
             self.note_ended(server);
         }
         self.with_quarantine(|quarantine, now| {
-            quarantine.judge(now);
+            quarantine.evaluate(now);
             quarantine.expire(now);
         });
     }
@@ -72,7 +84,7 @@
     /// another process, so that this is the only sign of their end.
     fn gone_in_doubt(&self) -> Vec<Key> {
         let state = &mut *self.state.borrow_mut();
-        let in_doubt = state.quarantine.in_doubt(clock::now());
+        let in_doubt = state.quarantine.unconfirmed_servers(clock::now());
         let directory = &state.directory;
         in_doubt
             .into_iter()
@@ -117,13 +129,13 @@
 
 /// Writes what was decided on a request.
 fn tell(verdict: &Verdict) {
-    let asked = verdict.asked;
+    let fingerprint = verdict.fingerprint;
     event::write(&match verdict.decision {
         Decision::Barred(servers) => Record::Quarantined {
-            asked,
+            asked: fingerprint,
             servers,
             first_hand: verdict.first_hand,
         },
-        Decision::Released => Record::QuarantineReleased { asked },
+        Decision::Released => Record::QuarantineReleased { asked: fingerprint },
     });
 }
--- a/crates/alderglade-serve/src/node/reach.rs
+++ b/crates/alderglade-serve/src/node/reach.rs
@@ -3,7 +3,7 @@
 use super::{Node, State};
 use crate::clock;
 use crate::event::{self, Record};
-use alderglade_core::fleet::reach::Sight;
+use alderglade_core::fleet::connectivity::Observation;
 use alderglade_core::time::Time;
 use std::time::Duration;
 
@@ -12,24 +12,24 @@
     pub(super) fn look_for_store(&self) {
         let now = clock::now();
         let state = &mut *self.state.borrow_mut();
-        let sight = self.sight(state, now);
-        let was_cut_off = state.reach.is_cut_off(now);
-        if state.reach.look(&sight, now) {
+        let observation = self.observation(state, now);
+        let was_cut_off = state.reach.is_disconnected(now);
+        if state.reach.observe(&observation, now) {
             self.ask_store.notify_waiters();
         }
-        let cut_off = state.reach.is_cut_off(now);
+        let cut_off = state.reach.is_disconnected(now);
         if cut_off != was_cut_off {
-            tell_reach(cut_off, &sight, state.freshness.age(now));
+            tell_reach(cut_off, &observation, state.freshness.age(now));
         }
     }
 
     /// Gives what this host sees of its way to the store.
-    fn sight(&self, state: &State, now: Time) -> Sight {
+    fn observation(&self, state: &State, now: Time) -> Observation {
         let domain = &self.settings.domain;
         let mut heard = state.loads.live_hosts(domain, now);
-        Sight {
-            refused: self.store.get().is_lost(),
-            informed: state.asks_store() || heard.any(|host| host.word.in_contact),
+        Observation {
+            call_failed: self.store.get().is_lost(),
+            informed: state.asks_store() || heard.any(|host| host.store.in_contact),
             isolated: state.loads.is_isolated(domain, now),
             confirmed: state.freshness.confirmed(),
         }
@@ -37,12 +37,12 @@
 }
 
 /// Writes whether the host has lost or found its way to the store, and by what.
-fn tell_reach(cut_off: bool, sight: &Sight, age: Option<Duration>) {
+fn tell_reach(cut_off: bool, observation: &Observation, age: Option<Duration>) {
     event::write(&Record::StoreReach {
         cut_off,
-        refused: sight.refused,
-        informed: sight.informed,
-        isolated: sight.isolated,
+        refused: observation.call_failed,
+        informed: observation.informed,
+        isolated: observation.isolated,
         store_age_ms: age.map(|age| age.as_millis() as u64),
     });
 }
--- a/crates/alderglade-serve/src/node/relay.rs
+++ b/crates/alderglade-serve/src/node/relay.rs
@@ -4,8 +4,10 @@
 use crate::clock;
 use crate::event::{self, Record};
 use alderglade_core::fleet::heartbeat;
-use alderglade_core::fleet::message::{Ask, Confirmation};
-use alderglade_core::fleet::relay::{self, Errand, Neighbour, Own, Relay, Role, Topic, Word};
+use alderglade_core::fleet::message::{Confirmation, ConfirmationRequest};
+use alderglade_core::fleet::relay::{
+    self, LocalStatus, Neighbour, Relay, Role, StoreQuery, StoreStatus, Topic,
+};
 use alderglade_core::time::Time;
 use rand::RngExt;
 use rand::seq::IteratorRandom;
@@ -18,17 +20,17 @@
 
 impl Node {
     /// Waits until the store should be asked about a topic, and says how.
-    pub async fn errand(&self, topic: Topic) -> Errand {
+    pub async fn errand(&self, topic: Topic) -> StoreQuery {
         loop {
             match self.due(topic) {
                 None => self.word_changed.notified().await,
-                Some(Errand::Watch) => return Errand::Watch,
-                Some(Errand::Fetch(pause)) => {
+                Some(StoreQuery::Watch) => return StoreQuery::Watch,
+                Some(StoreQuery::Fetch(pause)) => {
                     let behind = topic == Topic::Config && self.is_behind();
                     clock::sleep(pause).await;
                     // Meanwhile a watcher may have told what has changed.
                     if !behind || self.is_behind() {
-                        return Errand::Fetch(Duration::ZERO);
+                        return StoreQuery::Fetch(Duration::ZERO);
                     }
                 }
             }
@@ -50,7 +52,7 @@
     }
 
     /// Says whether and how the store should be asked about a topic now.
-    fn due(&self, topic: Topic) -> Option<Errand> {
+    fn due(&self, topic: Topic) -> Option<StoreQuery> {
         let now = clock::now();
         let chance = rand::rng().random::<f64>();
         let state = &mut *self.state.borrow_mut();
@@ -58,7 +60,7 @@
         let heard: Vec<Neighbour<'_>> =
             state.loads.live_hosts(&self.settings.domain, now).collect();
         let before = state.relay.role();
-        let errand = state.relay.errand(topic, &own, &heard, chance, now);
+        let errand = state.relay.next_query(topic, &own, &heard, chance, now);
         if state.relay.role() != before {
             tell_role(state.relay.role(), &own, &heard);
             if state.relay.role() == Role::Watcher {
@@ -71,8 +73,8 @@
     }
 
     /// Gives what this host knows of the store.
-    fn own(&self, state: &State, now: Time) -> Own<'_> {
-        Own {
+    fn own(&self, state: &State, now: Time) -> LocalStatus<'_> {
+        LocalStatus {
             name: &self.settings.host,
             domain: &self.settings.domain,
             division: state.groups.division(),
@@ -92,15 +94,15 @@
     }
 
     /// Gives what this host tells its peers of the store.
-    pub fn word(&self) -> Word {
+    pub fn word(&self) -> StoreStatus {
         let now = clock::now();
         let state = self.state.borrow();
-        Word {
+        StoreStatus {
             in_contact: state.watches_store() && self.store.get().answered_within(IN_CONTACT, now),
             config: state.config_version(),
             servers: state.directory.digest(),
             era: self.era(),
-            doubt_ms: state.doubt_ms(now),
+            grace_ms: state.grace_ms(now),
             hosts: u32::try_from(state.hosts.len()).unwrap_or(u32::MAX),
         }
     }
@@ -115,15 +117,15 @@
             return Vec::new();
         }
         let age = state.freshness.age(now);
-        let old = lost || Relay::is_old(age, self.settings.revocation);
+        let old = lost || Relay::is_stale(age, self.settings.revocation);
         let heard: Vec<Neighbour<'_>> =
             state.loads.live_hosts(&self.settings.domain, now).collect();
         if old {
-            let watchers = heard.iter().filter(|host| host.word.in_contact);
+            let watchers = heard.iter().filter(|host| host.store.in_contact);
             let addresses = watchers.filter_map(|host| state.hosts.get(host.name));
             return addresses.collect();
         }
-        let sources = self.own(&state, now).sources(&heard, beat);
+        let sources = self.own(&state, now).confirmation_sources(&heard, beat);
         let one = sources.into_iter().choose(&mut rand::rng());
         one.and_then(|name| state.hosts.get(name))
             .into_iter()
@@ -131,7 +133,7 @@
     }
 
     /// Answers a peer's question; a host without a configuration has no answer.
-    pub fn confirm(&self, ask: Ask) -> Option<Confirmation> {
+    pub fn confirm(&self, ask: ConfirmationRequest) -> Option<Confirmation> {
         let now = clock::now();
         let state = self.state.borrow();
         state.config.as_ref()?;
@@ -158,7 +160,7 @@
     }
 
     /// Takes what a peer tells of the store in a notice.
-    pub fn take_word(&self, word: &Word) {
+    pub fn take_word(&self, word: &StoreStatus) {
         if !word.in_contact {
             return;
         }
@@ -166,7 +168,7 @@
         let state = &mut *self.state.borrow_mut();
         // A watcher knows by itself; taken from each other, doubts would last for ever.
         if !state.watches_store() {
-            state.take_doubt(word.doubt_ms);
+            state.take_grace(word.grace_ms);
         }
         if word.config > state.config_version() {
             self.word_changed.notify_waiters();
@@ -175,12 +177,12 @@
 }
 
 /// Writes which role the host has taken, and why.
-fn tell_role(role: Role, own: &Own<'_>, heard: &[Neighbour<'_>]) {
-    let near = heard.iter().filter(|host| host.near);
+fn tell_role(role: Role, own: &LocalStatus<'_>, heard: &[Neighbour<'_>]) {
+    let near = heard.iter().filter(|host| host.same_domain);
     event::write(&Record::StoreRole {
         role: role.label(),
         heard: near.clone().count(),
-        watchers: near.filter(|host| host.word.in_contact).count(),
+        watchers: near.filter(|host| host.store.in_contact).count(),
         store_age_ms: own.age.map(|age| age.as_millis() as u64),
     });
 }
--- a/crates/alderglade-serve/src/node/repeats.rs
+++ b/crates/alderglade-serve/src/node/repeats.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::event::{self, Record};
 use alderglade_core::Name;
-use alderglade_core::fleet::budget::{Budget, REPEAT};
+use alderglade_core::fleet::budget::{Budget, UNITS_PER_RETRY};
 use alderglade_core::fleet::loan::{Loan, Request};
 use alderglade_core::fleet::message::Message;
 use alderglade_core::time::Time;
@@ -38,7 +38,7 @@
         }
         let mut state = self.state.borrow_mut();
         if asked > 0 {
-            state.questions.note_in_vain(service, clock::now());
+            state.questions.record_refusal(service, clock::now());
         }
         drop(state);
         self.metrics.repeats_refused.inc();
@@ -48,7 +48,7 @@
 
     /// Takes back a repeated send that reached no server.
     pub fn take_back_repeat(&self, service: &Name) {
-        self.with_budget(service, |budget, _, _| budget.take_back());
+        self.with_budget(service, |budget, _, _| budget.refund());
     }
 
     /// Takes one repeated send from what this host has.
@@ -69,7 +69,7 @@
         }
         let mut rng = rand::rng();
         let heard = state.loads.live_hosts(&self.settings.domain, now);
-        let near = heard.clone().filter(|host| host.near);
+        let near = heard.clone().filter(|host| host.same_domain);
         let near = near.sample(&mut rng, ASKED - 1);
         let any = heard.choose(&mut rng);
         let mut names: Vec<&Name> = near.iter().chain(&any).map(|host| host.name).collect();
@@ -90,7 +90,7 @@
         let number = request.number;
         self.write_letter(Letter {
             to: lender,
-            message: Message::Borrow(request),
+            message: Message::LoanRequest(request),
         });
         let answered = async {
             loop {
@@ -111,7 +111,7 @@
         let part = self.with_budget(&request.service, lent);
         self.metrics
             .lent
-            .inc_by(f64::from(part) / f64::from(REPEAT));
+            .inc_by(f64::from(part) / f64::from(UNITS_PER_RETRY));
         Loan {
             number: request.number,
             part,
@@ -134,9 +134,9 @@
     pub(super) fn repeats_left(&self, state: &mut State, now: Time) -> f64 {
         let hosts = state.known_hosts();
         let budgets = state.budgets.values_mut();
-        let left = budgets.map(|budget| budget.own_left(now, hosts));
+        let left = budgets.map(|budget| budget.remaining(now, hosts));
         left.min()
-            .map_or(0.0, |least| f64::from(least) / f64::from(REPEAT))
+            .map_or(0.0, |least| f64::from(least) / f64::from(UNITS_PER_RETRY))
     }
 
     fn with_budget<T>(&self, service: &Name, act: impl FnOnce(&mut Budget, Time, usize) -> T) -> T {
--- a/crates/alderglade-serve/src/node/restart.rs
+++ b/crates/alderglade-serve/src/node/restart.rs
@@ -8,7 +8,10 @@
 impl Node {
     /// Says whether a server has started again since.
     pub fn is_over(&self, server: &Server) -> bool {
-        self.state.borrow().directory.is_over(&server.incarnation)
+        self.state
+            .borrow()
+            .directory
+            .is_superseded(&server.incarnation)
     }
 
     /// Waits until a server has started again.
@@ -28,7 +31,7 @@
         let same = server.incarnation.may_be(status.born);
         if let Some(born) = status.born.filter(|_| !same) {
             let mut state = self.state.borrow_mut();
-            state.directory.hear_born(server.id(), born);
+            state.directory.observe_birth(server.id(), born);
             drop(state);
             self.tell_servers();
         }
--- a/crates/alderglade-serve/src/node/state.rs
+++ b/crates/alderglade-serve/src/node/state.rs
@@ -8,6 +8,7 @@
 use alderglade_core::fleet::backoff::Backoffs;
 use alderglade_core::fleet::budget::Budget;
 use alderglade_core::fleet::config::Config;
+use alderglade_core::fleet::connectivity::Connectivity;
 use alderglade_core::fleet::directory::Directory;
 use alderglade_core::fleet::evacuation::Evacuations;
 use alderglade_core::fleet::faults::Faults;
@@ -16,12 +17,11 @@
 use alderglade_core::fleet::health::Health;
 use alderglade_core::fleet::incarnation::Key;
 use alderglade_core::fleet::load_table::{LoadTable, Pauses};
-use alderglade_core::fleet::loan::Questions;
-use alderglade_core::fleet::message::Learnt;
-use alderglade_core::fleet::pieces::Pieces;
+use alderglade_core::fleet::loan::LoanRequests;
+use alderglade_core::fleet::message::StoreUpdate;
 use alderglade_core::fleet::quarantine::Quarantine;
 use alderglade_core::fleet::rate_limit::Limits;
-use alderglade_core::fleet::reach::Reach;
+use alderglade_core::fleet::reassembly::Reassembly;
 use alderglade_core::fleet::relay::{Relay, Role};
 use alderglade_core::time::Time;
 use rand::RngExt;
@@ -52,7 +52,7 @@
     /// The age of the store's word.
     pub freshness: Freshness,
     /// Whether the store is in reach.
-    pub(super) reach: Reach,
+    pub(super) reach: Connectivity,
     /// What is wrong with the newest configuration, where it can't be read.
     pub(super) config_fault: Option<String>,
     /// The entries of hosts that can't be read.
@@ -68,17 +68,17 @@
     /// Who asks the store.
     pub(super) relay: Relay,
     /// What the hosts of the own failure domain have not been told yet.
-    pub(super) outbox: Vec<Learnt>,
+    pub(super) outbox: Vec<StoreUpdate>,
     /// Hosts of which they have not been told yet.
     pub(super) new_hosts: Vec<Host>,
     /// Pieces of what watchers of the store tell of the servers.
-    pub(super) pieces: Pieces,
+    pub(super) pieces: Reassembly,
     /// What each service may still be sent again.
     pub(super) budgets: HashMap<Name, Budget>,
     /// Hosts of other groups, of which nothing is heard, that gave no answer.
     pub(super) silent: Backoffs<Name>,
     /// What this host asks of others' budgets.
-    pub(super) questions: Questions,
+    pub(super) questions: LoanRequests,
     /// Own calls that run at plain backend servers.
     pub(super) calls: HashMap<Key, u32>,
 }
@@ -97,7 +97,7 @@
             backoffs: Backoffs::default(),
             limits: Limits::default(),
             freshness: Freshness::default(),
-            reach: Reach::default(),
+            reach: Connectivity::default(),
             config_fault: None,
             host_faults: Faults::default(),
             newcomers: Vec::new(),
@@ -107,10 +107,10 @@
             relay: Relay::default(),
             outbox: Vec::new(),
             new_hosts: Vec::new(),
-            pieces: Pieces::default(),
+            pieces: Reassembly::default(),
             budgets: HashMap::new(),
             silent: Backoffs::default(),
-            questions: Questions::new(rand::rng().random()),
+            questions: LoanRequests::new(rand::rng().random()),
             calls: HashMap::new(),
         }
     }
@@ -146,7 +146,7 @@
     /// Deals the servers to the groups, and has the book know the engines, after the servers, the groups or the configuration
     /// have changed.
     pub(super) fn note_engines(&mut self) {
-        self.groups.deal(self.directory.all());
+        self.groups.assign(self.directory.all());
         let Some(config) = &self.config else {
             return;
         };
@@ -166,16 +166,16 @@
 
     /// Gives how much longer entries of servers may be missing in the store although the servers live, in
     /// milliseconds, as peers are told it.
-    pub(super) fn doubt_ms(&self, now: Time) -> u32 {
-        let left = self.directory.doubt_left(now).as_millis();
+    pub(super) fn grace_ms(&self, now: Time) -> u32 {
+        let left = self.directory.grace_left(now).as_millis();
         u32::try_from(left).unwrap_or(u32::MAX)
     }
 
     /// Takes a peer's word that entries of servers may be missing in the store for a while.
-    pub(super) fn take_doubt(&mut self, doubt_ms: u32) {
-        if doubt_ms > 0 {
-            let span = Duration::from_millis(u64::from(doubt_ms));
-            self.directory.doubt(clock::now() + span);
+    pub(super) fn take_grace(&mut self, grace_ms: u32) {
+        if grace_ms > 0 {
+            let span = Duration::from_millis(u64::from(grace_ms));
+            self.directory.extend_grace(clock::now() + span);
         }
     }
 }
--- a/crates/alderglade-serve/src/node/statement.rs
+++ b/crates/alderglade-serve/src/node/statement.rs
@@ -5,7 +5,7 @@
 use crate::event::{self, Record};
 use alderglade_core::fleet::directory::{Cold, Server};
 use alderglade_core::fleet::incarnation::Key;
-use alderglade_core::fleet::rate_limit::Told;
+use alderglade_core::fleet::rate_limit::LimitReport;
 use alderglade_core::fleet::statement::{Rate, Statement};
 use alderglade_core::time::Time;
 use std::time::Duration;
@@ -58,10 +58,10 @@
     }
 
     /// Takes what peers tell of servers' limits.
-    pub fn hear_limits(&self, limits: &[Told]) {
+    pub fn hear_limits(&self, limits: &[LimitReport]) {
         let now = clock::now();
         for told in limits {
-            let news = self.state.borrow_mut().limits.hear_told(told, now);
+            let news = self.state.borrow_mut().limits.apply_report(told, now);
             if news {
                 self.note_limit(told.server);
             }
@@ -72,7 +72,7 @@
         let key = server.key();
         let news = {
             let mut state = self.state.borrow_mut();
-            state.limits.hear(key, rate, sent, clock::now())
+            state.limits.observe_limit(key, rate, sent, clock::now())
         };
         if news {
             self.loads_changed.notify_one();
@@ -88,7 +88,7 @@
         let now = clock::now();
         let lived = now.since(self.began) >= LIVED;
         if lived && self.limit_owner(server) == self.settings.host {
-            self.state.borrow_mut().limits.begin(server, now);
+            self.state.borrow_mut().limits.take_ownership(server, now);
         }
         self.tell_limit(server);
     }
--- a/crates/alderglade-serve/src/node/store.rs
+++ b/crates/alderglade-serve/src/node/store.rs
@@ -134,10 +134,12 @@
                 self.state.borrow_mut().hosts.remove(&name);
             }
             News::Quarantined(asked, left) => {
-                self.with_quarantine(|quarantine, now| quarantine.learn(asked, left, now));
+                self.with_quarantine(|quarantine, now| {
+                    quarantine.apply_stored_bar(asked, left, now)
+                });
             }
             News::Released(asked) => {
-                self.with_quarantine(|quarantine, now| quarantine.release(asked, now));
+                self.with_quarantine(|quarantine, now| quarantine.apply_stored_release(asked, now));
             }
             News::QuarantineRestored(listed) => {
                 self.with_quarantine(|quarantine, now| quarantine.restore(&listed, now));
@@ -193,7 +195,7 @@
     /// on.
     fn take_changes(&self, after: Position, changes: &[Change], position: Position, now: Time) {
         let mut state = self.state.borrow_mut();
-        let taken = state.directory.take_changes(after, changes, position, now);
+        let taken = state.directory.apply_changes(after, changes, position, now);
         drop(state);
         if !taken || changes.is_empty() {
             return;
@@ -251,7 +253,7 @@
             limits,
             ..
         } = &mut *state;
-        health.retain(|server| directory.sound(server).is_some());
+        health.retain(|server| directory.active(server).is_some());
         limits.retain(|server| directory.knows(server), clock::now());
         let known = directory.len();
         let leaving = directory.leaving().len();
--- a/crates/alderglade-serve/src/peer.rs
+++ b/crates/alderglade-serve/src/peer.rs
@@ -32,7 +32,7 @@
     tokio::task::spawn_local(send_letters(node.clone(), teller.clone()));
     tokio::task::spawn_local(consult::run(node.clone()));
     let mut suspension = Suspension::default();
-    let mut beat = tokio::time::interval(heartbeat::SHORTEST);
+    let mut beat = tokio::time::interval(heartbeat::MIN_INTERVAL);
     beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
     for number in 0u64.. {
         beat.tick().await;
--- a/crates/alderglade-serve/src/peer/hear.rs
+++ b/crates/alderglade-serve/src/peer/hear.rs
@@ -5,7 +5,7 @@
 use crate::node::{Host, Node};
 use alderglade_core::fleet::load_table::Notice;
 use alderglade_core::fleet::loan::Request;
-use alderglade_core::fleet::message::{Ask, Learnt, Message, PassedOn};
+use alderglade_core::fleet::message::{ConfirmationRequest, ForwardedNotice, Message, StoreUpdate};
 use alderglade_core::fleet::rate_limit;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -37,31 +37,31 @@
 async fn take(node: &Node, socket: &UdpSocket, message: Message, sender: SocketAddr) {
     match message {
         Message::Notice(notice) => take_notice(node, &notice, sender),
-        Message::Spread(notice) => pass_on(node, socket, notice, sender).await,
-        Message::PassedOn(passed) => take_notice(node, &passed.notice, passed.origin),
-        Message::Ask(ask) => answer(node, socket, ask, sender).await,
+        Message::NoticeToForward(notice) => pass_on(node, socket, notice, sender).await,
+        Message::ForwardedNotice(passed) => take_notice(node, &passed.notice, passed.origin),
+        Message::ConfirmationRequest(ask) => answer(node, socket, ask, sender).await,
         Message::Confirmation(confirmation) => node.take_confirmation(&confirmation, sender),
-        Message::Learnt(learnt) => node.take_learnt(&learnt),
-        Message::Relay(learnt) => relay(node, socket, learnt).await,
-        Message::Borrow(request) => lend(node, socket, &request, sender).await,
+        Message::StoreUpdate(update) => node.take_learnt(&update),
+        Message::StoreUpdateToForward(update) => relay(node, socket, update).await,
+        Message::LoanRequest(request) => lend(node, socket, &request, sender).await,
         Message::Loan(loan) => node.take_loan(loan),
-        Message::Claim(request) => grant(node, socket, &request, sender).await,
+        Message::GrantRequest(request) => grant(node, socket, &request, sender).await,
         Message::Grant(grant) => node.take_grant(grant),
     }
 }
 
 /// Takes what the store has told, and passes it on to the hosts of the own group and failure domain.
-async fn relay(node: &Node, socket: &UdpSocket, learnt: Learnt) {
-    node.take_learnt(&learnt);
+async fn relay(node: &Node, socket: &UdpSocket, update: StoreUpdate) {
+    node.take_learnt(&update);
     node.metrics.passed_on.inc();
-    tell::send(socket, &Message::Learnt(learnt), &node.near_hosts()).await;
+    tell::send(socket, &Message::StoreUpdate(update), &node.near_hosts()).await;
 }
 
 /// Takes a notice and passes it on to the hosts of the own group and failure domain.
 async fn pass_on(node: &Node, socket: &UdpSocket, notice: Notice, origin: SocketAddr) {
     take_notice(node, &notice, origin);
     node.metrics.passed_on.inc();
-    let message = Message::PassedOn(PassedOn { origin, notice });
+    let message = Message::ForwardedNotice(ForwardedNotice { origin, notice });
     tell::send(socket, &message, &node.near_hosts()).await;
 }
 
@@ -73,7 +73,7 @@
         state.directory.mark_leaving(*server, now);
     }
     for told in &notice.ejections {
-        state.health.hear_passed_over(told, now);
+        state.health.apply_ejection(told, now);
     }
     let Notice {
         host,
@@ -81,7 +81,7 @@
         unanswered,
         ..
     } = notice;
-    state.health.hear_unanswered(host, domain, unanswered, now);
+    state.health.apply_unanswered(host, domain, unanswered, now);
     let joined = state.loads.apply_notice(notice, now);
     if joined {
         state.newcomers.push(notice.host.clone());
@@ -113,7 +113,7 @@
 }
 
 /// Tells a peer the age of this host's word of the store, if it has one.
-async fn answer(node: &Node, socket: &UdpSocket, ask: Ask, sender: SocketAddr) {
+async fn answer(node: &Node, socket: &UdpSocket, ask: ConfirmationRequest, sender: SocketAddr) {
     if let Some(confirmation) = node.confirm(ask) {
         let message = Message::Confirmation(confirmation);
         tell::send(socket, &message, &[sender]).await;
--- a/crates/alderglade-serve/src/peer/tell.rs
+++ b/crates/alderglade-serve/src/peer/tell.rs
@@ -5,7 +5,7 @@
 use crate::node::{Node, Ways};
 use alderglade_core::fleet::heartbeat::{Due, Schedule};
 use alderglade_core::fleet::load_table::{Holding, Notice};
-use alderglade_core::fleet::message::{Ask, Message};
+use alderglade_core::fleet::message::{ConfirmationRequest, Message};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -73,7 +73,11 @@
             return;
         }
         let asked_us = clock::now().0;
-        self.send(&Message::Ask(Ask { asked_us }), &hosts).await;
+        self.send(
+            &Message::ConfirmationRequest(ConfirmationRequest { asked_us }),
+            &hosts,
+        )
+        .await;
     }
 
     /// Sends what is meant for single hosts.
@@ -90,10 +94,12 @@
             return;
         }
         let near = self.node.near_hosts();
-        let bridges = self.node.domain_bridges(self.beat.get());
-        for learnt in outbox {
-            self.send(&Message::Learnt(learnt.clone()), &near).await;
-            self.send(&Message::Relay(learnt), &bridges).await;
+        let gateways = self.node.domain_gateways(self.beat.get());
+        for update in outbox {
+            self.send(&Message::StoreUpdate(update.clone()), &near)
+                .await;
+            self.send(&Message::StoreUpdateToForward(update), &gateways)
+                .await;
         }
     }
 
@@ -109,10 +115,11 @@
         for (number, holdings) in chunks.into_iter().enumerate() {
             let notice = self.notice(holdings, whole && number == 0);
             let others = self.node.notice_for_others(&notice, self.beat.get());
-            if let Some((notice, bridges)) = others {
-                self.send(&Message::Spread(notice), &bridges).await;
+            if let Some((notice, gateways)) = others {
+                self.send(&Message::NoticeToForward(notice), &gateways)
+                    .await;
             }
-            let spread = Message::Spread(notice.clone());
+            let spread = Message::NoticeToForward(notice.clone());
             self.send(&Message::Notice(notice), &direct).await;
             self.send(&spread, &through).await;
         }
@@ -135,12 +142,12 @@
             waiting: state.loads.waiting(clock::now()),
             store: word,
             leaving: self.node.shared_leavers(state),
-            ejections: state.health.told_passed_over(clock::now()),
-            unanswered: state.health.told_unanswered(clock::now()),
-            quarantine: state.quarantine.tell(whole, clock::now()),
-            limits: state.limits.told(clock::now()),
-            cold: state.limits.told_cold(clock::now()),
-            evacuations: state.evacuations.tell(clock::now()),
+            ejections: state.health.ejections_to_report(clock::now()),
+            unanswered: state.health.unanswered_to_report(clock::now()),
+            quarantine: state.quarantine.findings_to_report(whole, clock::now()),
+            limits: state.limits.reports(clock::now()),
+            cold: state.limits.cold_reports(clock::now()),
+            evacuations: state.evacuations.snapshot(clock::now()),
             holdings,
         }
     }
--- a/crates/alderglade-serve/src/slowdown.rs
+++ b/crates/alderglade-serve/src/slowdown.rs
@@ -53,7 +53,7 @@
 pub fn inspect(node: &Rc<Node>, server: Key) {
     let asks = {
         let mut state = node.state.borrow_mut();
-        state.health.begin_question(server, clock::now())
+        state.health.begin_slowness_check(server, clock::now())
     };
     if asks {
         tokio::task::spawn_local(look_after(node.clone(), server));
@@ -68,7 +68,7 @@
         }
         node.note_slow(server, slowdown);
         clock::sleep(ASK_AGAIN).await;
-        if !node.state.borrow().health.looks_after(server) {
+        if !node.state.borrow().health.owns_ejection(server) {
             return;
         }
     }
@@ -99,7 +99,7 @@
             return;
         };
         let mut state = self.state.borrow_mut();
-        state.health.note_passed_over(server, clock::now());
+        state.health.eject(server, clock::now());
         drop(state);
         self.loads_changed.notify_one();
         event::write(&Record::ServerSlow {
--- a/crates/alderglade-serve/tests/testsuite/message.rs
+++ b/crates/alderglade-serve/tests/testsuite/message.rs
@@ -5,16 +5,16 @@
 use alderglade_core::fleet::directory::Directory;
 use alderglade_core::fleet::evacuation::{self, Evacuations};
 use alderglade_core::fleet::fingerprint::Content;
-use alderglade_core::fleet::health::{Health, PassedOver};
+use alderglade_core::fleet::health::{Ejection, Health};
 use alderglade_core::fleet::incarnation::Incarnation;
 use alderglade_core::fleet::load_table::{Demand, Holding, Load, LoadTable, Notice, Reservation};
-use alderglade_core::fleet::loan::Questions;
-use alderglade_core::fleet::message::{Learnt, Message};
+use alderglade_core::fleet::loan::LoanRequests;
+use alderglade_core::fleet::message::{Message, StoreUpdate};
 use alderglade_core::fleet::pass::EngineProfile;
 use alderglade_core::fleet::position::Position;
-use alderglade_core::fleet::quarantine::{Fact, Quarantine, Told};
-use alderglade_core::fleet::rate_limit::{self, Limits, View, cold};
-use alderglade_core::fleet::relay::Word;
+use alderglade_core::fleet::quarantine::{Fact, Finding, Quarantine};
+use alderglade_core::fleet::rate_limit::{self, Limits, OwnerView, cold};
+use alderglade_core::fleet::relay::StoreStatus;
 use alderglade_core::time::Time;
 use arbtest::arbitrary::{Result, Unstructured};
 use std::time::Duration;
@@ -36,7 +36,7 @@
     loads: LoadTable,
     directory: Directory,
     health: Health,
-    questions: Questions,
+    questions: LoanRequests,
     quarantine: Quarantine,
     limits: Limits,
     evacuations: Evacuations,
@@ -51,7 +51,7 @@
             loads,
             directory: Directory::default(),
             health: Health::default(),
-            questions: Questions::new(0),
+            questions: LoanRequests::new(0),
             quarantine: Quarantine::default(),
             limits: Limits::default(),
             evacuations: Evacuations::default(),
@@ -61,34 +61,36 @@
     /// Takes a message as the process does.
     fn take(&mut self, message: Message, now: Time) {
         match message {
-            Message::Notice(notice) | Message::Spread(notice) => self.hear(&notice, now),
-            Message::PassedOn(passed) => self.hear(&passed.notice, now),
+            Message::Notice(notice) | Message::NoticeToForward(notice) => self.hear(&notice, now),
+            Message::ForwardedNotice(passed) => self.hear(&passed.notice, now),
             Message::Confirmation(confirmation) => {
                 confirmation.at();
             }
-            Message::Learnt(learnt) | Message::Relay(learnt) => self.learn(learnt, now),
+            Message::StoreUpdate(update) | Message::StoreUpdateToForward(update) => {
+                self.learn(update, now)
+            }
             Message::Loan(loan) => drop(self.questions.answer(loan, now)),
-            Message::Claim(request) => {
-                let view = View {
+            Message::GrantRequest(request) => {
+                let view = OwnerView {
                     own: "own",
                     owner: "own",
                     majority: true,
                 };
                 self.limits.grant(&request, &view, now);
             }
-            Message::Ask(_) | Message::Borrow(_) | Message::Grant(_) => {}
+            Message::ConfirmationRequest(_) | Message::LoanRequest(_) | Message::Grant(_) => {}
         }
     }
 
-    fn learn(&mut self, learnt: Learnt, now: Time) {
-        match learnt {
-            Learnt::Servers(servers) => {
+    fn learn(&mut self, update: StoreUpdate, now: Time) {
+        match update {
+            StoreUpdate::Servers(servers) => {
                 for change in servers.changes {
                     self.directory.apply(change, now);
                 }
             }
-            Learnt::Config(patch) => drop(Config::default().patched(&patch)),
-            Learnt::Hosts(_) => {}
+            StoreUpdate::Config(patch) => drop(Config::default().patched(&patch)),
+            StoreUpdate::Hosts(_) => {}
         }
     }
 
@@ -97,19 +99,19 @@
             self.directory.mark_leaving(*server, now);
         }
         for told in &notice.ejections {
-            self.health.hear_passed_over(told, now);
+            self.health.apply_ejection(told, now);
         }
         for told in &notice.quarantine {
-            self.quarantine.hear(told, now);
+            self.quarantine.apply_finding(told, now);
         }
         for told in &notice.cold {
-            self.limits.hear_cold(told, now);
+            self.limits.apply_cold_report(told, now);
         }
-        self.evacuations.hear(&notice.evacuations, now);
+        self.evacuations.apply_snapshot(&notice.evacuations, now);
         for told in &notice.limits {
-            self.limits.hear_told(told, now);
+            self.limits.apply_report(told, now);
         }
-        self.quarantine.judge(now);
+        self.quarantine.evaluate(now);
         self.quarantine.expire(now);
         self.loads.apply_notice(notice, now);
         self.loads.expire(now);
@@ -133,7 +135,7 @@
     })
 }
 
-fn told(u: &mut Unstructured<'_>) -> Result<Told> {
+fn told(u: &mut Unstructured<'_>) -> Result<Finding> {
     let content = Content {
         workspace: None,
         method: "GET",
@@ -154,31 +156,31 @@
             left_s: u.arbitrary()?,
         },
     };
-    let asked = content.fingerprint();
-    Ok(Told { asked, fact })
+    let fingerprint = content.fingerprint();
+    Ok(Finding { fingerprint, fact })
 }
 
-fn limit(u: &mut Unstructured<'_>) -> Result<rate_limit::Told> {
-    Ok(rate_limit::Told {
+fn limit(u: &mut Unstructured<'_>) -> Result<rate_limit::LimitReport> {
+    Ok(rate_limit::LimitReport {
         server: engine(3).key(),
         per_thousand_s: u.arbitrary()?,
         age_ms: u.arbitrary()?,
     })
 }
 
-fn cold(u: &mut Unstructured<'_>) -> Result<cold::Told> {
-    Ok(cold::Told {
+fn cold(u: &mut Unstructured<'_>) -> Result<cold::ColdReport> {
+    Ok(cold::ColdReport {
         server: engine(3).key(),
         per_thousand_s: u.arbitrary()?,
         left_ms: u.arbitrary()?,
     })
 }
 
-fn evacuation(u: &mut Unstructured<'_>) -> Result<evacuation::Told> {
-    Ok(evacuation::Told {
+fn evacuation(u: &mut Unstructured<'_>) -> Result<evacuation::Snapshot> {
+    Ok(evacuation::Snapshot {
         at: Some(Position::new(u.arbitrary()?, u.arbitrary()?)),
         domains: vec![u.arbitrary::<String>()?.into()],
-        lost: vec![evacuation::Lost {
+        lost: vec![evacuation::MissingEvacuation {
             domain: u.arbitrary::<String>()?.into(),
             left_ms: u.arbitrary()?,
         }],
@@ -198,7 +200,7 @@
         due_ms: u.arbitrary()?,
         reading_ms: u.arbitrary()?,
     };
-    let passed_over = PassedOver {
+    let ejection = Ejection {
         server: engine(0).key(),
         left_ms: u.arbitrary()?,
     };
@@ -211,9 +213,9 @@
         full: u.arbitrary()?,
         multi_engine_prompts: u.arbitrary()?,
         waiting: vec![waiting],
-        store: Word::default(),
+        store: StoreStatus::default(),
         leaving: vec![engine(1).key()],
-        ejections: vec![passed_over],
+        ejections: vec![ejection],
         unanswered: vec![engine(2).key()],
         quarantine: vec![told(u)?],
         limits: vec![limit(u)?],
--- a/crates/alderglade-standin/src/slope.rs
+++ b/crates/alderglade-standin/src/slope.rs
@@ -10,7 +10,7 @@
 use alderglade_core::fleet::pass::EngineProfile;
 use alderglade_core::fleet::placement::{self, Engine, ServiceState, Work};
 use alderglade_core::fleet::position::Position;
-use alderglade_core::fleet::relay::Word;
+use alderglade_core::fleet::relay::StoreStatus;
 use alderglade_core::time::Time;
 use serde::Serialize;
 use std::hint::black_box;
@@ -136,14 +136,14 @@
             full: whole,
             multi_engine_prompts: 0,
             waiting: Vec::new(),
-            store: Word::default(),
+            store: StoreStatus::default(),
             leaving: Vec::new(),
             ejections: Vec::new(),
             unanswered: Vec::new(),
             quarantine: Vec::new(),
             limits: Vec::new(),
             cold: Vec::new(),
-            evacuations: evacuation::Told::default(),
+            evacuations: evacuation::Snapshot::default(),
             holdings: if whole {
                 self.loads.all_holdings(Time(0))
             } else {
