--- a/crates/alderglade-caller/src/answer.rs
+++ b/crates/alderglade-caller/src/answer.rs
@@ -2,7 +2,7 @@
 
 use crate::listen::Request;
 use alderglade_core::request::{Id, Refusal};
-use alderglade_serve::answer::{BrokenOff, Content, Piece};
+use alderglade_serve::answer::{BrokenOff, Chunk, Content};
 use bytes::Bytes;
 use http::header::{CACHE_CONTROL, CONTENT_TYPE};
 use http::{HeaderMap, HeaderValue, Response, StatusCode};
@@ -114,7 +114,7 @@
 
 enum State {
     Fresh(oneshot::Sender<Response<Content>>),
-    Streaming(mpsc::Sender<Result<Piece, BrokenOff>>),
+    Streaming(mpsc::Sender<Result<Chunk, BrokenOff>>),
     Over,
 }
 
--- a/crates/alderglade-core/tests/testsuite/fleet/loan.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/loan.rs
@@ -26,7 +26,7 @@
 }
 
 /// A message on its way.
-struct Letter {
+struct Envelope {
     at: Time,
     from: usize,
     to: usize,
@@ -50,7 +50,7 @@
 /// Hosts that borrow from each other over a network that loses, doubles and delays.
 struct Fleet {
     hosts: Vec<Host>,
-    letters: Vec<Letter>,
+    letters: Vec<Envelope>,
     now: Time,
     /// Messages of a hundred that are lost.
     lost: u64,
@@ -101,7 +101,7 @@
             };
             let at = self.now + Duration::from_millis(self.chance.below(late));
             let message = message.clone();
-            self.letters.push(Letter {
+            self.letters.push(Envelope {
                 at,
                 from,
                 to,
@@ -116,10 +116,10 @@
         let (due, later) = letters
             .into_iter()
             .partition(|letter| letter.at <= self.now);
-        let due: Vec<Letter> = due;
+        let due: Vec<Envelope> = due;
         self.letters = later;
         let count = self.hosts.len();
-        for Letter {
+        for Envelope {
             from, to, message, ..
         } in due
         {
--- a/crates/alderglade-core/tests/testsuite/fleet/placement.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/placement.rs
@@ -304,7 +304,7 @@
 #[test]
 fn more_engines_read_more_multi_engine_prompts_at_a_time() {
     let shared = |multi_engine_prompts| ServiceState {
-        multi_engine_prompts: multi_engine_prompts,
+        multi_engine_prompts,
         engines: 60,
         ..CALM
     };
--- a/crates/alderglade-core/tests/testsuite/fleet/rate_limit.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/rate_limit.rs
@@ -40,7 +40,7 @@
 }
 
 /// A message on its way.
-struct Letter {
+struct Envelope {
     at: Time,
     from: usize,
     to: usize,
@@ -79,7 +79,7 @@
     hosts: Vec<Host>,
     /// For each host, the times at which it came and went, as others hear of them late.
     ups: Vec<Vec<(Time, bool)>>,
-    letters: Vec<Letter>,
+    letters: Vec<Envelope>,
     sends: Vec<Time>,
     numbers: u64,
     now: Time,
@@ -248,7 +248,7 @@
             return;
         }
         let at = self.now + ms(1 + self.chance.below(30));
-        self.letters.push(Letter {
+        self.letters.push(Envelope {
             at,
             from,
             to,
@@ -260,7 +260,7 @@
         let now = self.now;
         let (due, left) = std::mem::take(&mut self.letters)
             .into_iter()
-            .partition(|letter: &Letter| letter.at <= now);
+            .partition(|letter: &Envelope| letter.at <= now);
         self.letters = left;
         for letter in due {
             if !self.is_up(letter.to, now) {
--- a/crates/alderglade-serve/src/answer.rs
+++ b/crates/alderglade-serve/src/answer.rs
@@ -1,7 +1,7 @@
 //! Answers to callers: a backend server's own, or one of the product's error kinds.
 
+use crate::body_sender::Flight;
 use crate::memory::Portion;
-use crate::outlet::Flight;
 use alderglade_core::request::Refusal;
 use bytes::Bytes;
 use http::{HeaderValue, Response, StatusCode};
@@ -19,7 +19,7 @@
 
 /// Bytes on their way to a caller.
 #[derive(Debug)]
-pub struct Piece {
+pub struct Chunk {
     bytes: Bytes,
     /// What is given back when the caller's connection has written them.
     held: Option<Held>,
@@ -46,18 +46,18 @@
     }
 }
 
-impl Piece {
+impl Chunk {
     /// Makes a whole answer whose memory is given back when it is written.
-    pub fn new(bytes: Bytes, kept: Portion) -> Piece {
-        Piece {
+    pub fn new(bytes: Bytes, kept: Portion) -> Chunk {
+        Chunk {
             bytes,
             held: Some(Held::Memory(kept)),
         }
     }
 
     /// Makes a piece of a stream.
-    pub(crate) fn under_way(bytes: Bytes, flight: Flight) -> Piece {
-        Piece {
+    pub(crate) fn under_way(bytes: Bytes, flight: Flight) -> Chunk {
+        Chunk {
             bytes,
             held: Some(Held::Flight(flight)),
         }
@@ -75,19 +75,19 @@
     }
 }
 
-impl From<Bytes> for Piece {
+impl From<Bytes> for Chunk {
     /// Makes a small piece, for which nothing is held.
-    fn from(bytes: Bytes) -> Piece {
-        Piece { bytes, held: None }
+    fn from(bytes: Bytes) -> Chunk {
+        Chunk { bytes, held: None }
     }
 }
 
 /// The body of an answer.
 pub enum Content {
     /// All of it is there.
-    Whole(Option<Piece>),
+    Whole(Option<Chunk>),
     /// It comes in pieces.
-    Stream(mpsc::Receiver<Result<Piece, BrokenOff>>),
+    Stream(mpsc::Receiver<Result<Chunk, BrokenOff>>),
 }
 
 impl Body for Content {
@@ -99,10 +99,10 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
         match &mut *self {
-            Content::Whole(piece) => Poll::Ready(piece.take().map(|piece| Ok(piece.into_frame()))),
-            Content::Stream(pieces) => pieces
+            Content::Whole(chunk) => Poll::Ready(chunk.take().map(|chunk| Ok(chunk.into_frame()))),
+            Content::Stream(chunks) => chunks
                 .poll_recv(context)
-                .map(|piece| piece.map(|result| result.map(Piece::into_frame))),
+                .map(|chunk| chunk.map(|result| result.map(Chunk::into_frame))),
         }
     }
 
@@ -112,8 +112,8 @@
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Content::Whole(piece) => {
-                let length = piece.as_ref().map_or(0, |piece| piece.bytes.len());
+            Content::Whole(chunk) => {
+                let length = chunk.as_ref().map_or(0, |chunk| chunk.bytes.len());
                 SizeHint::with_exact(length as u64)
             }
             Content::Stream(_) => SizeHint::default(),
--- a/crates/alderglade-serve/src/attempt.rs
+++ b/crates/alderglade-serve/src/attempt.rs
@@ -45,7 +45,7 @@
     last_event: Option<String>,
     number: u32,
 ) -> Result<(Exchange, Reply), Miss> {
-    if !node.is_home(&job.homes, server) {
+    if !node.may_run_at(&job.homes, server) {
         tell(
             job,
             server,
@@ -54,7 +54,7 @@
         );
         return Err(Miss::NotSent);
     }
-    if !node.honours(&permit) {
+    if !node.is_valid(&permit) {
         tell(job, server, number, "the server takes nothing now");
         return Err(Miss::NotSent);
     }
@@ -74,12 +74,12 @@
     };
     let head = &exchange.head;
     let statement = node.translator.statement(head.status, &head.headers);
-    node.hear_statement(server, &statement, sent);
+    node.apply_statement(server, &statement, sent);
     let reply = node.translator.reply(&head.headers);
-    let own = reply.id.as_ref().is_none_or(|id| *id == job.ask.id);
+    let own = reply.id.as_ref().is_none_or(|id| *id == job.info.id);
     if !own {
         tell(job, server, number, "the answer belongs to another request");
-        node.note(server.key(), Outcome::Failed);
+        node.record_outcome(server.key(), Outcome::Failed);
         return Err(Miss::Lost);
     }
     if reply.not_run || exchange.head.status == StatusCode::MISDIRECTED_REQUEST {
@@ -99,16 +99,16 @@
     tell(job, server, number, &error.to_string());
     match error {
         Error::Unreachable { .. } => {
-            node.note(server.key(), Outcome::Silent);
+            node.record_outcome(server.key(), Outcome::Silent);
             Miss::NotSent
         }
         Error::Closed { .. } => {
-            node.note(server.key(), Outcome::Closed);
+            node.record_outcome(server.key(), Outcome::Closed);
             Miss::Closed
         }
         Error::NotSent => Miss::NotSent,
         Error::Lost { .. } => {
-            node.note(server.key(), Outcome::Broken);
+            node.record_outcome(server.key(), Outcome::Broken);
             // Others are told at once: they may be about to send there too.
             node.loads_changed.notify_one();
             broken_off(node, job, server, None).await;
@@ -128,12 +128,12 @@
 /// Notes that a server has said nothing for as long as it may, and writes so.
 pub fn note_silent(node: &Node, job: &Job, server: &Server, attempt: u32, problem: &str) {
     tell(job, server, attempt, problem);
-    node.note(server.key(), Outcome::Silent);
+    node.record_outcome(server.key(), Outcome::Silent);
 }
 
 /// Waits until a server has started again, and writes so: what was sent to it ended with its former lifetime.
 pub async fn over(node: &Node, job: &Job, server: &Server, attempt: u32) {
-    node.over(server).await;
+    node.wait_until_superseded(server).await;
     tell(job, server, attempt, STARTED_AGAIN);
 }
 
@@ -147,18 +147,18 @@
     const PATIENCE: Duration = Duration::from_millis(50);
     let ran = began.map(|began| clock::now().since(began));
     // A server that was leaving has ended as it was asked to, whatever it still had.
-    if node.is_sound(server.key()) {
-        node.note_broken(job.asked, server.key(), ran);
+    if node.is_active(server.key()) {
+        node.record_interruption(job.fingerprint, server.key(), ran);
     }
     let inspection = Inspection {
         node: node.clone(),
-        id: job.ask.id.clone(),
-        asked: job.asked,
+        id: job.info.id.clone(),
+        fingerprint: job.fingerprint,
         server: server.clone(),
         ran,
     };
     let look = tokio::task::spawn_local(inspection.run());
-    if node.suspects(job.asked) {
+    if node.is_suspect(job.fingerprint) {
         // In vain or not, what is known then counts.
         let _ = tokio::time::timeout(PATIENCE, look).await;
     }
@@ -168,7 +168,7 @@
 struct Inspection {
     node: Rc<Node>,
     id: Name,
-    asked: Fingerprint,
+    fingerprint: Fingerprint,
     server: Server,
     /// How long the request had run there, if it had begun.
     ran: Option<Duration>,
@@ -181,13 +181,13 @@
         let ended = self.node.client.listens(address).await == Some(false);
         event::write(&Record::ServerBrokeOff {
             id: &self.id,
-            asked: self.asked,
+            asked: self.fingerprint,
             server: self.server.id(),
             ran_ms: self.ran.map(|ran| ran.as_millis() as u64),
             ended,
         });
         if ended {
-            self.node.note_ended(self.server.key());
+            self.node.record_server_end(self.server.key());
         }
     }
 }
@@ -195,7 +195,7 @@
 /// Writes that a try failed.
 pub fn tell(job: &Job, server: &Server, attempt: u32, problem: &str) {
     event::write(&Record::AttemptFailed {
-        id: &job.ask.id,
+        id: &job.info.id,
         server: server.id(),
         attempt,
         problem,
--- a/crates/alderglade-serve/src/outlet.rs
+++ b/crates/alderglade-serve/src/body_sender.rs
@@ -4,7 +4,7 @@
 //! memory for that has room. A piece is under way until the caller's connection has written it. The way always has a place left
 //! for the word that the answer is broken off: without it an answer that ends early would look whole.
 
-use crate::answer::{BrokenOff, Piece};
+use crate::answer::{BrokenOff, Chunk};
 use crate::memory::{Pool, Portion};
 use bytes::Bytes;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 /// The length that a piece is expected to have, in bytes: what a connection to a server reads at once.
 const USUAL: usize = 8 * 1024;
 
-type Item = Result<Piece, BrokenOff>;
+type Item = Result<Chunk, BrokenOff>;
 
 /// The pieces of one answer that are under way.
 #[derive(Debug, Default)]
@@ -41,8 +41,8 @@
 }
 
 /// The sending end.
-pub(crate) struct Outlet {
-    pieces: mpsc::Sender<Item>,
+pub(crate) struct BodySender {
+    chunks: mpsc::Sender<Item>,
     flights: Arc<Flights>,
     /// The place for the word that the answer is broken off.
     end: Option<mpsc::OwnedPermit<Item>>,
@@ -50,19 +50,19 @@
 }
 
 /// The caller has left.
-pub(crate) struct Gone;
+pub(crate) struct CallerGone;
 
-impl Outlet {
+impl BodySender {
     /// Opens a way; gives its receiving end, too.
-    pub(crate) fn open(pool: &Arc<Pool>) -> (Outlet, mpsc::Receiver<Item>) {
-        let (pieces, receiver) = mpsc::channel(PIECES + 1);
-        let outlet = Outlet {
-            end: pieces.clone().try_reserve_owned().ok(),
-            pieces,
+    pub(crate) fn open(pool: &Arc<Pool>) -> (BodySender, mpsc::Receiver<Item>) {
+        let (chunks, receiver) = mpsc::channel(PIECES + 1);
+        let body_sender = BodySender {
+            end: chunks.clone().try_reserve_owned().ok(),
+            chunks,
             flights: Arc::default(),
             pool: pool.clone(),
         };
-        (outlet, receiver)
+        (body_sender, receiver)
     }
 
     /// Waits until another piece may probably be given to the caller, or the caller has left.
@@ -83,12 +83,12 @@
     /// # Errors
     ///
     /// Where the caller has left.
-    pub(crate) async fn hand_on(&self, bytes: Bytes) -> Result<(), Gone> {
+    pub(crate) async fn hand_on(&self, bytes: Bytes) -> Result<(), CallerGone> {
         let mut kept = Portion::new(&self.pool);
         while !self.is_empty() && !kept.grow(bytes.len()) {
             tokio::select! {
                 () = self.flights.landed.notified() => {}
-                () = self.closed() => return Err(Gone),
+                () = self.closed() => return Err(CallerGone),
             }
         }
         self.flights.count.fetch_add(1, Ordering::Relaxed);
@@ -96,25 +96,25 @@
             flights: self.flights.clone(),
             _kept: kept,
         };
-        let piece = Piece::under_way(bytes, flight);
-        self.pieces.send(Ok(piece)).await.map_err(|_| Gone)
+        let chunk = Chunk::under_way(bytes, flight);
+        self.chunks.send(Ok(chunk)).await.map_err(|_| CallerGone)
     }
 
     /// Gives the first piece to the caller, whose memory was taken already.
-    pub(crate) fn begin(&self, first: Piece) {
-        if self.pieces.try_send(Ok(first)).is_err() {
+    pub(crate) fn begin(&self, first: Chunk) {
+        if self.chunks.try_send(Ok(first)).is_err() {
             log::debug!("a caller left before its answer began");
         }
     }
 
     /// Waits until the caller has left.
     pub(crate) async fn closed(&self) {
-        self.pieces.closed().await;
+        self.chunks.closed().await;
     }
 
     /// Tells the caller that the answer is not whole; says whether it is still there.
     pub(crate) fn break_off(&mut self) -> bool {
-        let is_there = !self.pieces.is_closed();
+        let is_there = !self.chunks.is_closed();
         if let Some(end) = self.end.take() {
             end.send(Err(BrokenOff));
         }
--- a/crates/alderglade-serve/src/daemon.rs
+++ b/crates/alderglade-serve/src/daemon.rs
@@ -108,7 +108,7 @@
 /// slowly.
 pub async fn stop(node: &Rc<Node>) {
     node.stop();
-    while !node.has_finished() && !node.is_near_its_end() {
+    while !node.has_finished() && !node.is_near_end() {
         tokio::time::sleep(LOOK).await;
     }
     node.end_requests();
@@ -117,5 +117,5 @@
     while !node.has_finished() && clock::now() < end {
         tokio::time::sleep(LOOK).await;
     }
-    node.tell_stopped();
+    node.log_stopped();
 }
--- a/crates/alderglade-serve/src/forward.rs
+++ b/crates/alderglade-serve/src/forward.rs
@@ -7,7 +7,7 @@
 use crate::job::Job;
 use crate::memory::Portion;
 use crate::node::{InFlight, Node, Progress};
-use crate::translate::Ask;
+use crate::translate::RequestInfo;
 use crate::{generate, unary};
 use alderglade_core::Name;
 use alderglade_core::error::Kind as ErrorKind;
@@ -34,13 +34,13 @@
 /// Answers one request.
 pub async fn serve(node: Rc<Node>, request: Request<Incoming>) -> Response<Answer> {
     let (head, body) = request.into_parts();
-    let in_flight = node.enter();
+    let in_flight = node.track_request();
     let arrived = in_flight.progress.arrived;
-    let ask = match read_head(&node, &head) {
-        Ok(ask) => ask,
+    let info = match read_head(&node, &head) {
+        Ok(info) => info,
         Err(refusal) => return refuse(&node, "", &refusal, arrived),
     };
-    let id = ask.id.clone();
+    let id = info.id.clone();
     in_flight.progress.set_id(&id);
     let mut guard = Guard {
         progress: in_flight.progress.clone(),
@@ -48,9 +48,9 @@
     };
     let result = tokio::select! {
         biased;
-        result = let_in(&node, head, body, ask, &in_flight) => result,
+        result = let_in(&node, head, body, info, &in_flight) => result,
         // Its body has not come to its end.
-        () = node.requests_end() => Err(Refusal::new(ErrorKind::Draining, ELSEWHERE)),
+        () = node.wait_for_request_end() => Err(Refusal::new(ErrorKind::Draining, ELSEWHERE)),
     };
     let mut response = match result {
         Err(refusal) => refuse(&node, &id, &refusal, arrived),
@@ -66,7 +66,7 @@
 /// Has a request served. One that has no answer when the host is about to end gets one too: that nobody knows whether it
 /// ran.
 async fn answer(node: &Rc<Node>, job: Job, in_flight: InFlight) -> Response<Answer> {
-    let (id, arrived) = (job.ask.id.clone(), job.arrived());
+    let (id, arrived) = (job.info.id.clone(), job.arrived());
     let served = async {
         match job.route.kind {
             Kind::Stream { .. } => generate::serve(node, job, in_flight).await,
@@ -76,7 +76,7 @@
     tokio::select! {
         biased;
         response = served => response,
-        () = node.requests_end() => {
+        () = node.wait_for_request_end() => {
             let refusal = Refusal::new(ErrorKind::ContactLost, Duration::ZERO);
             refuse(node, &id, &refusal, arrived)
         }
@@ -130,32 +130,32 @@
     node: &Rc<Node>,
     head: Parts,
     body: Incoming,
-    ask: Ask,
+    info: RequestInfo,
     in_flight: &InFlight,
 ) -> Result<Job, Refusal> {
-    let config = node.config_soon(START_PATIENCE).await;
+    let config = node.wait_for_config(START_PATIENCE).await;
     let config = config.ok_or_else(|| Refusal::new(ErrorKind::NotReady, ELSEWHERE))?;
-    let Admission { route, workspace } = admit(node, &config, &head, &ask)?;
-    let asked = ask.time_limit.unwrap_or(route.time_limit);
+    let Admission { route, workspace } = admit(node, &config, &head, &info)?;
+    let asked = info.time_limit.unwrap_or(route.time_limit);
     let progress = in_flight.progress.clone();
     let ends = progress.arrived + asked.min(route.time_limit);
     let mut kept = Portion::new(&node.memory);
     let body = read_body(body, config.limits.max_body_bytes, ends, &mut kept).await?;
     // The body may have come long after its head: the host may stop by now.
-    if !node.takes_requests() {
+    if !node.accepts_requests() {
         return Err(Refusal::new(ErrorKind::Draining, ELSEWHERE));
     }
     let draw = rand::rng().random::<f64>();
     let service = route.target(draw).map(|target| target.service.clone());
     let service = service.ok_or_else(|| Refusal::new(ErrorKind::NoCapacity, ELSEWHERE))?;
     let asked = fingerprint(&head, workspace.as_deref(), &body);
-    if let Some(left) = node.bars(asked) {
+    if let Some(left) = node.barred_for(asked) {
         return Err(Refusal::new(ErrorKind::Quarantined, left));
     }
     let homes = config.homes(&route, workspace.as_deref());
     Ok(Job {
-        ask,
-        asked,
+        info,
+        fingerprint: asked,
         method: head.method,
         target: head.uri,
         headers: head.headers,
@@ -200,7 +200,12 @@
 
 /// Finds the route and checks the key. A host whose word of the store is too old to trust keys
 /// refuses what it would have to judge by them, and denies nothing.
-fn admit(node: &Node, config: &Config, head: &Parts, ask: &Ask) -> Result<Admission, Refusal> {
+fn admit(
+    node: &Node,
+    config: &Config,
+    head: &Parts,
+    info: &RequestInfo,
+) -> Result<Admission, Refusal> {
     let trusted = node.trusts_keys();
     let cut_off = || Refusal::new(ErrorKind::PlatformUnavailable, ELSEWHERE);
     let Some(route) = config.route(host(head), head.uri.path()) else {
@@ -210,7 +215,7 @@
             cut_off()
         });
     };
-    match config.access(route, ask.key.as_deref()) {
+    match config.access(route, info.key.as_deref()) {
         Access::Open => Ok(Admission {
             route: route.clone(),
             workspace: None,
@@ -225,7 +230,7 @@
 }
 
 /// Gives what a request's head says.
-fn read_head(node: &Node, head: &Parts) -> Result<Ask, Refusal> {
+fn read_head(node: &Node, head: &Parts) -> Result<RequestInfo, Refusal> {
     node.translator.ask(&head.headers).map_err(|problem| {
         log::debug!("a head can't be read: {problem}");
         Refusal::new(ErrorKind::BadRequest, Duration::ZERO)
--- a/crates/alderglade-serve/src/generate.rs
+++ b/crates/alderglade-serve/src/generate.rs
@@ -10,7 +10,7 @@
 use crate::event::{self, Record};
 use crate::forward;
 use crate::job::Job;
-use crate::node::{Held, InFlight, Node, Permit, Stage};
+use crate::node::{InFlight, Node, Permit, ReservationGuard, Stage};
 use crate::relay;
 use crate::slowdown::Reading;
 use crate::ticket::Tickets;
@@ -49,7 +49,7 @@
     /// The server.
     pub server: Server,
     /// The placement in the book.
-    pub held: Held,
+    pub held: ReservationGuard,
     /// Memory that was set aside.
     pub tickets: Option<Tickets>,
     /// Who reads the prompt.
@@ -71,7 +71,7 @@
     /// The servers that read parts or hold memory.
     helpers: Vec<Helper>,
     /// The placement in the book.
-    held: Held,
+    held: ReservationGuard,
     /// Memory that was set aside.
     tickets: Option<Tickets>,
     /// Who reads the prompt.
@@ -125,11 +125,11 @@
 
 /// Serves a generation. `in_flight` goes with the stream.
 pub async fn serve(node: &Rc<Node>, job: Job, in_flight: InFlight) -> Response<Content> {
-    node.first_send(&job.service);
+    node.record_first_send(&job.service);
     let mut tries = Tries::default();
-    let last_event = job.ask.last_event.clone();
+    let last_event = job.info.last_event.clone();
     match open(node, &job, &mut tries, last_event).await {
-        Err(refusal) => forward::refuse(node, &job.ask.id, &refusal, job.arrived()),
+        Err(refusal) => forward::refuse(node, &job.info.id, &refusal, job.arrived()),
         Ok(opened) => relay::start(node, job, tries, opened, in_flight),
     }
 }
@@ -176,7 +176,7 @@
         };
         life = match send(node, job, tries, &mut placed, attempt).await {
             Sending::Answered(exchange) => {
-                placed.held.take_back();
+                placed.held.resume();
                 return Ok(placed.open(exchange, silence));
             }
             Sending::Missed(miss) => note_miss(node, job, tries, &placed.server, sent, miss),
@@ -200,7 +200,7 @@
     life: &Life<Waiting>,
 ) -> Result<Choice, Refusal> {
     let choice = permitted(node, job, tries, life).await?;
-    if tries.arrivals > 0 && !node.spend_repeat(&job.ask.id, &job.service).await {
+    if tries.arrivals > 0 && !node.spend_retry(&job.info.id, &job.service).await {
         return Err(life.refuse(ErrorKind::Overloaded, COME_BACK));
     }
     Ok(choice)
@@ -229,7 +229,7 @@
         tries.avoid.push(plan.primary);
         return None;
     };
-    let held = node.hold(take::hold(job, plan));
+    let held = node.reserve(take::hold(job, plan));
     let Ok(tickets) = set_aside(node, job, plan, tries).await else {
         drop(held);
         tokio::time::sleep(NO_MEMORY_PAUSE).await;
@@ -248,7 +248,7 @@
 /// before another server begins.
 fn silence(job: &Job, plan: &Plan) -> Duration {
     let late = plan.first_event * LATE_FACTOR + LATE;
-    let patience = job.patience().saturating_sub(job.waited());
+    let patience = job.caller_timeout().saturating_sub(job.waited());
     caller::silence_timeout(patience).min(late)
 }
 
@@ -315,19 +315,19 @@
     job: &Job,
     tries: &mut Tries,
     silent: &Server,
-    held: &mut Held,
+    held: &mut ReservationGuard,
     silence: Duration,
 ) -> Choice {
     clock::patience(silence).await;
     note_standstill(node, job, tries, silent);
-    held.set_aside();
+    held.suspend();
     let life = Life::new().send().lost();
     loop {
         let plan = place::place(node, job, tries, &life).await;
         let other = plan.ok().filter(|plan| plan.primary != silent.key());
         if let Some(plan) = other
             && let Ok(permit) = node.permit_plan(&plan).await
-            && node.spend_repeat(&job.ask.id, &job.service).await
+            && node.spend_retry(&job.info.id, &job.service).await
         {
             return Choice { plan, permit };
         }
@@ -364,7 +364,7 @@
     if status.is_success() && reply.genuine {
         return Sending::Answered(exchange);
     }
-    node.note(server.key(), Outcome::Failed);
+    node.record_outcome(server.key(), Outcome::Failed);
     attempt::tell(job, server, number, status.as_str());
     Sending::Missed(Miss::Lost)
 }
@@ -384,13 +384,14 @@
             tries.sends -= 1;
             tries.arrivals -= 1;
             if tries.arrivals > 0 {
-                node.take_back_repeat(&job.service);
+                node.refund_retry(&job.service);
             }
             sent.never_sent()
         }
         Miss::Disclaimed(at_fault) => {
             tries.sends -= 1;
-            let refusing = at_fault.and_then(|address| node.note_refusing(address, server));
+            let refusing =
+                at_fault.and_then(|address| node.record_refusing_server(address, server));
             tries.avoid.extend(refusing);
             sent.disclaimed()
         }
@@ -413,7 +414,7 @@
     }
     // A name is used once: what a refused set gives back late must not end the next one.
     tries.reserves += 1;
-    let name = format!("{}-{}", job.ask.id, tries.reserves);
+    let name = format!("{}-{}", job.info.id, tries.reserves);
     match Tickets::take(node, &name, &plan.shares).await {
         Some(tickets) => Ok(Some(tickets)),
         None => Err(NoMemory),
@@ -442,8 +443,8 @@
     let waited = job.waited();
     node.metrics.waited.observe(waited.as_secs_f64());
     event::write(&Record::Placed {
-        id: &job.ask.id,
-        asked: job.asked,
+        id: &job.info.id,
+        asked: job.fingerprint,
         server: server.id(),
         attempt,
         prompt: job.prompt().tokens,
--- a/crates/alderglade-serve/src/generate/place.rs
+++ b/crates/alderglade-serve/src/generate/place.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::event::{self, Record};
 use crate::job::Job;
-use crate::node::{Closing, InLine, Node};
+use crate::node::{Node, QueueGuard, Unavailability};
 use alderglade_core::error::Kind as ErrorKind;
 use alderglade_core::fleet::life::{Life, Waiting};
 use alderglade_core::fleet::pass::EngineProfile;
@@ -31,20 +31,21 @@
     tries: &mut Tries,
     life: &Life<Waiting>,
 ) -> Result<Plan, Refusal> {
-    let mut line = None;
+    let mut queue = None;
     loop {
         if job.left().is_zero() {
             return Err(life.refuse(ErrorKind::ExpiredWaiting, COME_BACK));
         }
         job.cleared(node, life).await?;
-        if tries.sends == 0 && !node.takes_requests() {
+        if tries.sends == 0 && !node.accepts_requests() {
             return Err(life.refuse(ErrorKind::Draining, COME_BACK));
         }
-        if let Some(Closing { kind, after }) = node.closing(&job.service, &job.homes) {
+        if let Some(Unavailability { kind, after }) = node.unavailability(&job.service, &job.homes)
+        {
             return Err(life.refuse(kind, after));
         }
         let ends_in = node.ends_in();
-        match decide(node, job, tries, &mut line) {
+        match decide(node, job, tries, &mut queue) {
             Decision::Send(plan)
                 if ends_in.is_some_and(|left| answer_time(node, job, &plan) > left) =>
             {
@@ -57,8 +58,8 @@
             Decision::Refuse(after) => return Err(life.refuse(ErrorKind::Overloaded, after)),
             Decision::Wait(wait) => {
                 tell_held(node, job, tries, wait.reason);
-                if let Some(line) = &mut line {
-                    line.tell();
+                if let Some(queue) = &mut queue {
+                    queue.announce();
                 }
                 clock::sleep(wait.recheck_after).await;
             }
@@ -74,7 +75,7 @@
     tries.held_for.push(reason);
     let multi_engine_prompts = node.state.borrow().loads.multi_engine_prompts();
     event::write(&Record::Held {
-        id: &job.ask.id,
+        id: &job.info.id,
         reason: reason.label(),
         prompt: job.prompt().tokens,
         waited_ms: job.waited().as_millis() as u64,
@@ -90,14 +91,14 @@
     /// estimate decides only on prompts that came while the host still took requests.
     const LONGER: f64 = 1.5;
     let prompt = job.prompt();
-    let most_out = match prompt.expected_out {
+    let max_output = match prompt.output_estimate {
         Some(expected) if job.route.kind.is_repeatable() => {
-            prompt.most_out.min((expected as f64 * LONGER) as u64)
+            prompt.max_output.min((expected as f64 * LONGER) as u64)
         }
-        _ => prompt.most_out,
+        _ => prompt.max_output,
     };
     let stride = profile(node, job).map_or(1, |profile| u64::from(profile.stride.max(1)));
-    let strides = most_out / stride + 1;
+    let strides = max_output / stride + 1;
     plan.first_event + STRIDE * u32::try_from(strides).unwrap_or(u32::MAX)
 }
 
@@ -107,8 +108,8 @@
     config.service(&job.service)?.engine
 }
 
-/// Gives the decision on a prompt as things stand now. A long one takes its place in `line`.
-fn decide(node: &Rc<Node>, job: &Job, tries: &Tries, line: &mut Option<InLine>) -> Decision {
+/// Gives the decision on a prompt as things stand now. A long one takes its place in `queue`.
+fn decide(node: &Rc<Node>, job: &Job, tries: &Tries, queue: &mut Option<QueueGuard>) -> Decision {
     let Some(profile) = profile(node, job) else {
         return without_figures(node, job, tries);
     };
@@ -116,8 +117,8 @@
     let engines = node.engines(&job.service, profile, &job.homes);
     let demand = placement::demand(&work, &profile, engines.len());
     let before = demand.map_or(0, |demand| {
-        let place = line.get_or_insert_with(|| node.line_up(demand));
-        place.stand(demand)
+        let place = queue.get_or_insert_with(|| node.enqueue(demand));
+        place.update(demand)
     });
     let shared = ServiceState {
         queued_before: before,
@@ -130,7 +131,7 @@
 
 /// Places a stream of a service that states no figures for its engines: least own calls first.
 fn without_figures(node: &Node, job: &Job, tries: &Tries) -> Decision {
-    match node.pick(&job.service, &job.homes, &tries.avoid) {
+    match node.pick_server(&job.service, &job.homes, &tries.avoid) {
         None => Decision::Refuse(COME_BACK),
         Some(server) => Decision::Send(Plan {
             primary: server.key(),
@@ -146,16 +147,16 @@
 /// Gives what placement must know of a prompt.
 fn work(job: &Job, tries: &Tries, stride: u32) -> Work {
     let prompt = job.prompt();
-    let likely = prompt.likely_out();
-    let out = likely.max(u64::from(stride)).min(prompt.most_out.max(1));
+    let likely = prompt.expected_output_tokens();
+    let out = likely.max(u64::from(stride)).min(prompt.max_output.max(1));
     Work {
         prompt: prompt.tokens,
         memory: prompt.tokens + out,
         objective: job.route.objective,
-        caller_timeout: job.patience(),
+        caller_timeout: job.caller_timeout(),
         waited: job.waited(),
         time_left: job.left(),
-        is_retry: job.came_back(),
+        is_retry: job.is_retry(),
         worth: placement::worth(prompt.tokens),
         avoid: tries.avoid.clone(),
         stalled: tries.stalled.clone(),
--- a/crates/alderglade-serve/src/generate/take.rs
+++ b/crates/alderglade-serve/src/generate/take.rs
@@ -13,7 +13,7 @@
     let prompt = job.prompt();
     let reading = (plan.part * 1_000.0) as u64;
     let shared: u64 = plan.shares.iter().map(|share| share.tokens).sum();
-    let memory = (prompt.tokens + prompt.likely_out()).saturating_sub(shared);
+    let memory = (prompt.tokens + prompt.expected_output_tokens()).saturating_sub(shared);
     let mut at_risk = [0; PAUSE_CLASSES];
     at_risk[job.pauses() as usize] = (placement::worth(prompt.tokens) * 1_000.0) as i64;
     let own_share = share_at(plan, plan.primary);
--- a/crates/alderglade-serve/src/job.rs
+++ b/crates/alderglade-serve/src/job.rs
@@ -3,7 +3,7 @@
 use crate::clock;
 use crate::memory::Portion;
 use crate::node::{Node, Progress};
-use crate::translate::{Ask, Prompt};
+use crate::translate::{Prompt, RequestInfo};
 use alderglade_core::Name;
 use alderglade_core::error::Kind as ErrorKind;
 use alderglade_core::fleet::caller;
@@ -22,14 +22,14 @@
 /// What a prompt counts as whose caller says nothing of it: an ordinary short one.
 const ORDINARY: Prompt = Prompt {
     tokens: 5_000,
-    most_out: 1_000,
-    expected_out: None,
+    max_output: 1_000,
+    output_estimate: None,
 };
 
 /// A request that was read whole and let in.
 pub struct Job {
     /// What its caller says.
-    pub ask: Ask,
+    pub info: RequestInfo,
     /// The method.
     pub method: Method,
     /// Path and query.
@@ -41,7 +41,7 @@
     /// The memory that it takes.
     pub kept: Portion,
     /// What was asked, which stays the same when the caller comes back.
-    pub asked: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// Its route.
     pub route: Route,
     /// The service that it goes to.
@@ -65,8 +65,8 @@
     ///
     /// Where it is barred.
     pub async fn cleared(&self, node: &Node, life: &Life<Waiting>) -> Result<(), Refusal> {
-        node.judged(self.asked).await;
-        match node.bars(self.asked) {
+        node.wait_for_verdict(self.fingerprint).await;
+        match node.barred_for(self.fingerprint) {
             Some(left) => Err(life.refuse(ErrorKind::Quarantined, left)),
             None => Ok(()),
         }
@@ -88,7 +88,7 @@
     }
 
     /// Gives how long its caller waits for the first or the next event.
-    pub fn patience(&self) -> Duration {
+    pub fn caller_timeout(&self) -> Duration {
         let longest_pause = self.route.kind.longest_pause();
         caller::response_timeout(
             self.route.objective,
@@ -97,16 +97,16 @@
     }
 
     /// Says whether its caller has probably asked before: it waits for less time than the route allows.
-    pub fn came_back(&self) -> bool {
+    pub fn is_retry(&self) -> bool {
         /// How much less counts. Callers whose time is as long as their route's say so to the millisecond.
         const SURE: Duration = Duration::from_millis(100);
-        let limit = self.ask.time_limit;
+        let limit = self.info.time_limit;
         limit.is_some_and(|limit| limit + SURE < self.route.time_limit)
     }
 
     /// Gives what the caller says of the prompt; one that says nothing counts as an ordinary short one.
     pub fn prompt(&self) -> Prompt {
-        self.ask.prompt.unwrap_or(ORDINARY)
+        self.info.prompt.unwrap_or(ORDINARY)
     }
 
     /// Gives the pauses that its answer bears.
--- a/crates/alderglade-serve/src/lib.rs
+++ b/crates/alderglade-serve/src/lib.rs
@@ -7,6 +7,7 @@
 pub mod answer;
 pub mod attempt;
 mod body;
+mod body_sender;
 pub mod client;
 pub mod clock;
 pub mod daemon;
@@ -19,7 +20,6 @@
 pub mod metrics;
 pub mod node;
 pub mod order;
-mod outlet;
 pub mod peer;
 pub mod relay;
 pub mod settings;
--- a/crates/alderglade-serve/src/listen.rs
+++ b/crates/alderglade-serve/src/listen.rs
@@ -59,7 +59,7 @@
 }
 
 async fn connection(node: Rc<Node>, stream: TcpStream) {
-    let _connected = node.connect();
+    let _connected = node.track_connection();
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("socket option refused: {error}");
     }
@@ -108,7 +108,7 @@
 /// Waits until a connection that was opened now is to be ended where it rests: the host stops and takes no more requests.
 async fn ends_at_rest(node: &Node) {
     let opened = clock::now();
-    node.takes_no_more().await;
+    node.wait_until_closed().await;
     clock::sleep_until(opened + FIRST_REQUEST).await;
 }
 
--- a/crates/alderglade-serve/src/node.rs
+++ b/crates/alderglade-serve/src/node.rs
@@ -6,7 +6,6 @@
 mod catch_up;
 mod choice;
 mod cold;
-mod consultation;
 mod era;
 mod evacuation;
 mod faults;
@@ -19,22 +18,23 @@
 mod quarantine;
 mod reach;
 mod relay;
-mod repeats;
 mod restart;
+mod retry_budget;
+mod startup_sync;
 mod state;
 mod statement;
 mod stop;
 mod store;
 
 pub use alderglade_core::fleet::message::Host;
-pub use choice::Closing;
-pub use guard::{Call, Connected, Held, InFlight, InLine};
+pub use choice::Unavailability;
+pub use guard::{CallGuard, Connected, InFlight, QueueGuard, ReservationGuard};
 pub use hosts::Hosts;
-pub use outbox::{Letter, Ways};
-pub use permit::{Closed, Permit};
+pub use outbox::{Envelope, Recipients};
+pub use permit::{NotPermitted, Permit};
 pub use progress::{Progress, Stage};
 pub use state::State;
-pub use store::News;
+pub use store::StoreEvent;
 
 use crate::client::Client;
 use crate::clock;
@@ -88,9 +88,9 @@
     /// Wakes requests that wait for what a host that has just started must learn first.
     learnt: Notify,
     /// Messages for single hosts that have not been sent yet.
-    letters: RefCell<Vec<Letter>>,
+    envelopes: RefCell<Vec<Envelope>>,
     /// Wakes whoever sends these.
-    pub letters_written: Notify,
+    pub envelopes_queued: Notify,
     /// Wakes whoever waits for a part of another host's budget.
     lent: Notify,
     /// Questions for grants that are not answered yet.
@@ -102,13 +102,13 @@
     /// Wakes whoever tells the store.
     verdicts_made: Notify,
     /// Wakes whoever waits for a reason to ask the store.
-    pub word_changed: Notify,
+    pub store_status_changed: Notify,
     /// This lifetime of the process: where the store was when it took the host's entry.
     pub incarnation: Cell<Position>,
     /// The store's eras.
     eras: era::Eras,
     /// What others tell this host as it starts.
-    consultation: consultation::Consultation,
+    startup_sync: startup_sync::StartupSync,
     /// Since when other hosts have had a newer configuration.
     behind_since: Cell<Option<Time>>,
     stopping_since: watch::Sender<Option<Time>>,
@@ -142,17 +142,17 @@
             pressure: Cell::default(),
             loads_changed: Notify::new(),
             learnt: Notify::new(),
-            letters: RefCell::default(),
-            letters_written: Notify::new(),
+            envelopes: RefCell::default(),
+            envelopes_queued: Notify::new(),
             lent: Notify::new(),
             claims: RefCell::default(),
             restarted: Notify::new(),
             verdicts: RefCell::default(),
             verdicts_made: Notify::new(),
-            word_changed: Notify::new(),
+            store_status_changed: Notify::new(),
             incarnation: Cell::default(),
             eras: era::Eras::default(),
-            consultation: consultation::Consultation::default(),
+            startup_sync: startup_sync::StartupSync::default(),
             behind_since: Cell::new(None),
             stopping_since: watch::Sender::new(None),
             ending: watch::Sender::new(false),
@@ -177,7 +177,7 @@
         let state = self.state.borrow();
         let known = state.config.is_some() && !state.directory.is_empty();
         let known = known && self.knows_evacuations(&state);
-        known && !self.is_stopping() && !state.reach.is_disconnected(clock::now())
+        known && !self.is_stopping() && !state.connectivity.is_disconnected(clock::now())
     }
 
     /// Says whether keys may be trusted now.
@@ -190,7 +190,7 @@
     }
 
     /// Notes a request in hand until the guard is dropped.
-    pub fn enter(self: &Rc<Node>) -> InFlight {
+    pub fn track_request(self: &Rc<Node>) -> InFlight {
         let progress = Rc::new(Progress::begin(clock::now()));
         self.metrics.in_flight.inc();
         if self.is_stopping() {
@@ -204,36 +204,36 @@
     }
 
     /// Notes an open connection of a caller until the guard is dropped.
-    pub fn connect(self: &Rc<Node>) -> Connected {
+    pub fn track_connection(self: &Rc<Node>) -> Connected {
         self.connections.set(self.connections.get() + 1);
         self.metrics.caller_connections.inc();
         Connected { node: self.clone() }
     }
 
     /// Notes a placement in the book until the guard is dropped.
-    pub fn hold(self: &Rc<Node>, hold: Reservation) -> Held {
+    pub fn reserve(self: &Rc<Node>, hold: Reservation) -> ReservationGuard {
         let id = self.state.borrow_mut().loads.reserve(hold, clock::now());
         self.loads_changed.notify_one();
-        Held::new(self.clone(), id)
+        ReservationGuard::new(self.clone(), id)
     }
 
     /// Takes a prompt into the line of those that wait, until the guard is dropped.
-    pub fn line_up(self: &Rc<Node>, demand: Demand) -> InLine {
+    pub fn enqueue(self: &Rc<Node>, demand: Demand) -> QueueGuard {
         let id = self.state.borrow_mut().loads.enqueue(demand, clock::now());
-        InLine::new(self.clone(), id)
+        QueueGuard::new(self.clone(), id)
     }
 
     /// Notes a call to a plain backend server until the guard is dropped.
-    pub fn call(self: &Rc<Node>, server: Key) -> Call {
+    pub fn track_call(self: &Rc<Node>, server: Key) -> CallGuard {
         *self.state.borrow_mut().calls.entry(server).or_default() += 1;
-        Call {
+        CallGuard {
             node: self.clone(),
             server,
         }
     }
 
     /// Notes how a call to a server ended.
-    pub fn note(&self, server: Key, outcome: Outcome) {
+    pub fn record_outcome(&self, server: Key, outcome: Outcome) {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
         state.health.record(server, outcome, now);
@@ -246,7 +246,7 @@
     /// peers told. One that refuses for itself may only be full, which concerns nobody else.
     ///
     /// Gives the server, if it is known.
-    pub fn note_refusing(&self, address: SocketAddr, asked: &Server) -> Option<Key> {
+    pub fn record_refusing_server(&self, address: SocketAddr, asked: &Server) -> Option<Key> {
         let state = &mut *self.state.borrow_mut();
         let server = state.directory.at(address)?;
         let (key, slots) = (server.key(), i64::from(server.slots));
@@ -268,7 +268,7 @@
     }
 
     /// Says whether a server is known, listed and not leaving, whether new work may go to its failure domain or not.
-    pub fn is_sound(&self, key: Key) -> bool {
+    pub fn is_active(&self, key: Key) -> bool {
         self.state.borrow().directory.active(key).is_some()
     }
 
@@ -290,7 +290,7 @@
         self.set_gauges(&mut state, now);
         drop(state);
         self.look_for_store();
-        self.word_changed.notify_waiters();
+        self.store_status_changed.notify_waiters();
         tell_peers(joined, silent);
         self.regroup();
         if dropped {
@@ -304,7 +304,7 @@
     /// Sets the figures for operators that only show how things stand.
     fn set_gauges(&self, state: &mut State, now: Time) {
         let metrics = &self.metrics;
-        metrics.repeats_left.set(self.repeats_left(state, now));
+        metrics.repeats_left.set(self.retries_left(state, now));
         let passed_over = state.health.ejected_count(now) as i64;
         metrics.passed_over.set(passed_over);
         metrics.limited.set(state.limits.count() as i64);
--- a/crates/alderglade-serve/src/node/choice.rs
+++ b/crates/alderglade-serve/src/node/choice.rs
@@ -41,7 +41,7 @@
 
 /// Why no server of a service can take a request now, and when its caller should come back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Closing {
+pub struct Unavailability {
     /// What the caller is told.
     pub kind: ErrorKind,
     /// When to come back.
@@ -71,17 +71,17 @@
 
 impl Node {
     /// Says whether a request with these homes may run at a server.
-    pub fn is_home(&self, homes: &Homes, server: &Server) -> bool {
+    pub fn may_run_at(&self, homes: &Homes, server: &Server) -> bool {
         homes.is_unrestricted() || homes.allow(self.settings.regions.get(&server.domain))
     }
 
     /// Says why no server of a service takes a request with these homes now; `None` where one does.
-    pub fn closing(&self, service: &str, homes: &Homes) -> Option<Closing> {
+    pub fn unavailability(&self, service: &str, homes: &Homes) -> Option<Unavailability> {
         let now = clock::now();
         let state = self.state.borrow();
         let directory = &state.directory;
         let open = directory.of_service(service);
-        let open = open.filter(|server| self.is_home(homes, server));
+        let open = open.filter(|server| self.may_run_at(homes, server));
         let mut opens_in: Option<Duration> = None;
         for server in open {
             let left = state.closed_for(server.key(), now);
@@ -95,7 +95,7 @@
             None => {
                 let mut known = directory.active_of(service).peekable();
                 let exists = known.peek().is_some();
-                if known.any(|server| self.is_home(homes, server)) {
+                if known.any(|server| self.may_run_at(homes, server)) {
                     (ErrorKind::NoCapacity, EVACUATED)
                 } else if exists {
                     (ErrorKind::NoHome, NO_SERVER)
@@ -104,7 +104,7 @@
                 }
             }
         };
-        Some(Closing { kind, after })
+        Some(Unavailability { kind, after })
     }
 
     /// Gives the engines of a service that take something of this host now and at which a request with these homes may run, in
@@ -126,7 +126,7 @@
         let pauses = pauses.get(service).copied().unwrap_or_default();
         let open = directory.of_service(service).filter(|server| {
             let closed = closed_for(backoffs, limits, server.key(), now);
-            self.is_home(homes, server) && closed.is_zero()
+            self.may_run_at(homes, server) && closed.is_zero()
         });
         let shared = groups.share(&self.settings.host, open.collect(), LEAST_ENGINES);
         let engines = shared.into_iter().map(|server| {
@@ -162,13 +162,13 @@
     }
 
     /// Picks the plain backend server with the fewest own calls that hasn't been tried, among those that take something now.
-    pub fn pick(&self, service: &str, homes: &Homes, tried: &[Key]) -> Option<Server> {
+    pub fn pick_server(&self, service: &str, homes: &Homes, tried: &[Key]) -> Option<Server> {
         let now = clock::now();
         let state = self.state.borrow();
         let mut rng = rand::rng();
         let cost = |server: &Server, draw: f64| self.cost(&state, server, tried, now) + DRAW * draw;
         let servers = state.directory.of_service(service);
-        let servers = servers.filter(|server| self.is_home(homes, server));
+        let servers = servers.filter(|server| self.may_run_at(homes, server));
         let servers = servers.filter(|server| state.closed_for(server.key(), now).is_zero());
         let own = &self.settings.host;
         let servers = state.groups.share(own, servers.collect(), LEAST_SERVERS);
--- a/crates/alderglade-serve/src/node/cold.rs
+++ b/crates/alderglade-serve/src/node/cold.rs
@@ -72,7 +72,7 @@
     }
 
     /// Takes what peers tell of cold servers. The entry of one that isn't known yet will say it, too.
-    pub fn hear_cold(&self, cold: &[ColdReport]) {
+    pub fn apply_cold_reports(&self, cold: &[ColdReport]) {
         for told in cold {
             let news = {
                 let mut state = self.state.borrow_mut();
--- a/crates/alderglade-serve/src/node/era.rs
+++ b/crates/alderglade-serve/src/node/era.rs
@@ -25,7 +25,7 @@
     }
 
     /// Takes the era of an answer of the store. Gives the latest one, which is later than that of an answer that was late.
-    pub fn note_era(&self, told: u64) -> u64 {
+    pub fn record_era(&self, told: u64) -> u64 {
         let known = self.eras.known.get();
         if told <= known {
             return known;
@@ -45,7 +45,7 @@
     }
 
     /// Takes the era that another host tells.
-    pub(super) fn hear_era(&self, told: u64) {
+    pub(super) fn observe_era(&self, told: u64) {
         if told > self.eras.heard.get() {
             self.eras.heard.set(told);
             self.eras.later.notify_waiters();
@@ -53,7 +53,7 @@
     }
 
     /// Waits until the store, or another host, tells of a later era; gives that.
-    pub async fn era_after(&self, era: u64) -> u64 {
+    pub async fn wait_for_era_after(&self, era: u64) -> u64 {
         loop {
             let later = self.eras.later.notified();
             let latest = self.eras.known.get().max(self.eras.heard.get());
--- a/crates/alderglade-serve/src/node/evacuation.rs
+++ b/crates/alderglade-serve/src/node/evacuation.rs
@@ -27,7 +27,7 @@
     }
 
     /// Takes what another host knows.
-    pub fn hear_evacuations(&self, snapshot: &Snapshot) {
+    pub fn apply_evacuations(&self, snapshot: &Snapshot) {
         self.edit_evacuations(|evacuations, now| evacuations.apply_snapshot(snapshot, now));
     }
 
--- a/crates/alderglade-serve/src/node/guard.rs
+++ b/crates/alderglade-serve/src/node/guard.rs
@@ -35,33 +35,33 @@
 }
 
 /// Keeps a placement in the book.
-pub struct Held {
+pub struct ReservationGuard {
     node: Rc<Node>,
     id: ReservationId,
     /// The placement while it is set aside.
-    aside: Option<Reservation>,
+    suspended: Option<Reservation>,
 }
 
-impl Held {
+impl ReservationGuard {
     /// Keeps a placement that was noted in the book.
-    pub(super) fn new(node: Rc<Node>, id: ReservationId) -> Held {
-        Held {
+    pub(super) fn new(node: Rc<Node>, id: ReservationId) -> ReservationGuard {
+        ReservationGuard {
             node,
             id,
-            aside: None,
+            suspended: None,
         }
     }
 
     /// Takes the placement out of the book for now, so that it doesn't stand in the way of the one that is to replace it.
-    pub fn set_aside(&mut self) {
-        if self.aside.is_none() {
-            self.aside = self.release();
+    pub fn suspend(&mut self) {
+        if self.suspended.is_none() {
+            self.suspended = self.release();
         }
     }
 
     /// Puts the placement back into the book, if it was set aside.
-    pub fn take_back(&mut self) {
-        let Some(hold) = self.aside.take() else {
+    pub fn resume(&mut self) {
+        let Some(hold) = self.suspended.take() else {
             return;
         };
         self.id = self
@@ -82,7 +82,7 @@
     }
 
     /// Notes that the prompt has been read.
-    pub fn read(&mut self) {
+    pub fn mark_read(&mut self) {
         let mut state = self.node.state.borrow_mut();
         let tell = state.loads.mark_read(self.id, clock::now());
         drop(state);
@@ -92,62 +92,62 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for ReservationGuard {
     fn drop(&mut self) {
-        if self.aside.is_none() {
+        if self.suspended.is_none() {
             self.release();
         }
     }
 }
 
 /// Keeps a prompt in the line of those that wait.
-pub struct InLine {
+pub struct QueueGuard {
     node: Rc<Node>,
     id: QueuedId,
     /// Whether peers know of it.
-    told: bool,
+    announced: bool,
 }
 
-impl InLine {
+impl QueueGuard {
     /// Keeps a prompt that was taken into the line; peers are told only if it has to wait.
-    pub(super) fn new(node: Rc<Node>, id: QueuedId) -> InLine {
-        InLine {
+    pub(super) fn new(node: Rc<Node>, id: QueuedId) -> QueueGuard {
+        QueueGuard {
             node,
             id,
-            told: false,
+            announced: false,
         }
     }
 
     /// Takes what the prompt needs as it stands now; gives how many prompts go before it.
-    pub fn stand(&self, demand: Demand) -> u32 {
+    pub fn update(&self, demand: Demand) -> u32 {
         let mut state = self.node.state.borrow_mut();
         state.loads.update_queued(self.id, demand, clock::now())
     }
 
     /// Has peers told that the prompt waits, the first time.
-    pub fn tell(&mut self) {
-        if !std::mem::replace(&mut self.told, true) {
+    pub fn announce(&mut self) {
+        if !std::mem::replace(&mut self.announced, true) {
             self.node.loads_changed.notify_one();
         }
     }
 }
 
-impl Drop for InLine {
+impl Drop for QueueGuard {
     fn drop(&mut self) {
         self.node.state.borrow_mut().loads.dequeue(self.id);
-        if self.told {
+        if self.announced {
             self.node.loads_changed.notify_one();
         }
     }
 }
 
 /// Counts a call to a plain backend server.
-pub struct Call {
+pub struct CallGuard {
     pub(super) node: Rc<Node>,
     pub(super) server: Key,
 }
 
-impl Drop for Call {
+impl Drop for CallGuard {
     fn drop(&mut self) {
         let mut state = self.node.state.borrow_mut();
         if let Some(calls) = state.calls.get_mut(&self.server) {
--- a/crates/alderglade-serve/src/node/outbox.rs
+++ b/crates/alderglade-serve/src/node/outbox.rs
@@ -3,7 +3,7 @@
 //! Those that watch the store put changes into their outbox; the others take them, and ask the store only where
 //! something is missing.
 
-use super::{News, Node};
+use super::{Node, StoreEvent};
 use crate::clock;
 use alderglade_core::Name;
 use alderglade_core::fleet::config::{Config, Patch};
@@ -23,7 +23,7 @@
 const AROUND: usize = 100;
 
 /// By which ways notices go to the other hosts of the own group.
-pub struct Ways {
+pub struct Recipients {
     /// Hosts that are told directly.
     pub direct: Vec<SocketAddr>,
     /// Hosts that pass notices on in their failure domain.
@@ -31,7 +31,7 @@
 }
 
 /// A message for one host.
-pub struct Letter {
+pub struct Envelope {
     /// Where that is.
     pub to: SocketAddr,
     /// What is sent.
@@ -40,14 +40,14 @@
 
 impl Node {
     /// Has a message sent to one host.
-    pub(super) fn write_letter(&self, letter: Letter) {
-        self.letters.borrow_mut().push(letter);
-        self.letters_written.notify_one();
+    pub(super) fn queue_envelope(&self, envelope: Envelope) {
+        self.envelopes.borrow_mut().push(envelope);
+        self.envelopes_queued.notify_one();
     }
 
     /// Gives the messages for single hosts that have not been sent yet.
-    pub fn take_letters(&self) -> Vec<Letter> {
-        std::mem::take(&mut *self.letters.borrow_mut())
+    pub fn take_envelopes(&self) -> Vec<Envelope> {
+        std::mem::take(&mut *self.envelopes.borrow_mut())
     }
 
     /// Has what differs between two configurations passed on to the hosts of the own domain, if this host
@@ -116,7 +116,7 @@
     }
 
     /// Gives the ways by which notices go to the other hosts of the own group, after so many heartbeats.
-    pub fn ways(&self, beat: u64) -> Ways {
+    pub fn recipients(&self, beat: u64) -> Recipients {
         let now = clock::now();
         let own = &self.settings.host;
         let state = self.state.borrow();
@@ -127,7 +127,7 @@
             name == own || elsewhere || fanout.covered.contains(name)
         };
         let through = fanout.forwarders.iter();
-        Ways {
+        Recipients {
             direct: state.hosts.addresses_but(left_out),
             through: through.filter_map(|name| state.hosts.get(name)).collect(),
         }
@@ -173,7 +173,7 @@
     }
 
     /// Gives the addresses of the hosts of the own group and failure domain that were heard of lately.
-    pub fn near_hosts(&self) -> Vec<SocketAddr> {
+    pub fn same_domain_hosts(&self) -> Vec<SocketAddr> {
         let now = clock::now();
         let state = self.state.borrow();
         let heard = state.heard_in_group(&self.settings.host, &self.settings.domain, now);
@@ -182,7 +182,7 @@
     }
 
     /// Takes what a peer has learnt that watches the store.
-    pub fn take_learnt(&self, update: &StoreUpdate) {
+    pub fn apply_store_update(&self, update: &StoreUpdate) {
         match update {
             StoreUpdate::Servers(servers) => self.take_servers(servers),
             StoreUpdate::Config(patch) => self.take_patch(patch),
@@ -207,7 +207,7 @@
             return;
         }
         state.take_grace(servers.grace_ms);
-        let Some(changes) = state.pieces.take(servers) else {
+        let Some(changes) = state.reassembly.take(servers) else {
             return;
         };
         let now = clock::now();
@@ -224,7 +224,7 @@
     fn take_patch(&self, patch: &Patch) {
         let known = self.state.borrow().config.clone();
         if let Some(config) = known.and_then(|config| config.patched(patch)) {
-            self.learn(News::Config(config));
+            self.apply_store_event(StoreEvent::Config(config));
         }
     }
 }
--- a/crates/alderglade-serve/src/node/permit.rs
+++ b/crates/alderglade-serve/src/node/permit.rs
@@ -3,7 +3,7 @@
 //! Nothing is sent without a [`Permit`], so that what a server has said of itself binds each way to it: a first send, a
 //! repeat, a stream that goes on elsewhere, a part of a long prompt.
 
-use super::{Letter, Node};
+use super::{Envelope, Node};
 use crate::clock;
 use alderglade_core::Name;
 use alderglade_core::fleet::incarnation::Key;
@@ -30,7 +30,7 @@
 
 /// A server takes no request of this host now.
 #[derive(Debug)]
-pub struct Closed;
+pub struct NotPermitted;
 
 /// What was asked for one request to a server.
 struct Claim {
@@ -76,7 +76,7 @@
     /// # Errors
     ///
     /// Where the server takes none now; it is not among those to choose from until it does.
-    pub async fn permit(&self, server: Key) -> Result<Permit, Closed> {
+    pub async fn permit(&self, server: Key) -> Result<Permit, NotPermitted> {
         let claim = self.claim(server)?;
         self.settle(claim).await
     }
@@ -86,7 +86,7 @@
     /// # Errors
     ///
     /// Where none grants it now.
-    async fn settle(&self, mut claim: Claim) -> Result<Permit, Closed> {
+    async fn settle(&self, mut claim: Claim) -> Result<Permit, NotPermitted> {
         /// Owners that are asked, one after the other.
         const OWNERS: usize = 3;
         let server = claim.server;
@@ -114,7 +114,7 @@
             });
         }
         self.deny(server, wait);
-        Err(Closed)
+        Err(NotPermitted)
     }
 
     /// Takes that an owner gave no answer; says whether another one can be asked in its place.
@@ -146,14 +146,15 @@
     /// # Errors
     ///
     /// Where one of them takes nothing now.
-    pub async fn permit_plan(&self, plan: &Plan) -> Result<Permit, Closed> {
+    pub async fn permit_plan(&self, plan: &Plan) -> Result<Permit, NotPermitted> {
         let readers = plan.helpers.iter();
         let lenders = plan.shares.iter().map(|share| &share.server);
         let mut others: Vec<Key> = readers.chain(lenders).copied().collect();
         others.sort();
         others.dedup();
         let others = others.into_iter().filter(|other| *other != plan.primary);
-        let others: Result<Vec<Claim>, Closed> = others.map(|other| self.claim(other)).collect();
+        let others: Result<Vec<Claim>, NotPermitted> =
+            others.map(|other| self.claim(other)).collect();
         let (others, first) = (others?, self.claim(plan.primary)?);
         for other in others {
             self.settle(other).await?;
@@ -162,7 +163,7 @@
     }
 
     /// Says whether a permit still holds: the server may have said something of itself since.
-    pub fn honours(&self, permit: &Permit) -> bool {
+    pub fn is_valid(&self, permit: &Permit) -> bool {
         let now = clock::now();
         let limited = self
             .state
@@ -186,9 +187,9 @@
     /// # Errors
     ///
     /// Where the server takes none now.
-    fn claim(&self, server: Key) -> Result<Claim, Closed> {
+    fn claim(&self, server: Key) -> Result<Claim, NotPermitted> {
         if !self.takes_work(server) {
-            return Err(Closed);
+            return Err(NotPermitted);
         }
         let own = &self.settings.host;
         let now = clock::now();
@@ -212,10 +213,10 @@
         let to = self.state.borrow().hosts.get(&owner);
         if owner == self.settings.host {
             let grant = self.grant(&request);
-            self.take_grant(grant);
+            self.apply_grant(grant);
         } else if let Some(to) = to {
             let message = Message::GrantRequest(request);
-            self.write_letter(Letter { to, message });
+            self.queue_envelope(Envelope { to, message });
         } else {
             log::debug!("{owner} can't be asked for a grant: no address");
         }
@@ -245,7 +246,7 @@
         let own = &self.settings.host;
         let heard = state.heard_in_group(own, &self.settings.domain, now);
         let heard = heard.count() + 1;
-        let listed = self.consultation.knows_hosts().then(|| {
+        let listed = self.startup_sync.knows_hosts().then(|| {
             let listed = state.hosts.names();
             let of_group = listed.filter(|name| state.groups.same_group(own, name));
             of_group.count()
@@ -254,7 +255,7 @@
     }
 
     /// Takes the answer of a limit's owner.
-    pub fn take_grant(&self, grant: Grant) {
+    pub fn apply_grant(&self, grant: Grant) {
         self.claims.borrow_mut().answer(grant);
     }
 
--- a/crates/alderglade-serve/src/node/quarantine.rs
+++ b/crates/alderglade-serve/src/node/quarantine.rs
@@ -14,7 +14,7 @@
 
 impl Node {
     /// Gives how much longer a request is sent to no server, if it is barred.
-    pub fn bars(&self, fingerprint: Fingerprint) -> Option<Duration> {
+    pub fn barred_for(&self, fingerprint: Fingerprint) -> Option<Duration> {
         self.state
             .borrow()
             .quarantine
@@ -22,30 +22,35 @@
     }
 
     /// Says whether a request is suspected: one more end under it, and it is judged.
-    pub fn suspects(&self, fingerprint: Fingerprint) -> bool {
+    pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
         self.state.borrow().quarantine.is_suspect(fingerprint)
     }
 
     /// Notes that a server broke a request off, which had run there for `ran` if it had begun.
-    pub fn note_broken(&self, fingerprint: Fingerprint, server: Key, ran: Option<Duration>) {
+    pub fn record_interruption(
+        &self,
+        fingerprint: Fingerprint,
+        server: Key,
+        ran: Option<Duration>,
+    ) {
         self.with_quarantine(|quarantine, now| {
             quarantine.record_interruption(fingerprint, server, ran, now)
         });
     }
 
     /// Notes that a server has ended.
-    pub fn note_ended(&self, server: Key) {
+    pub fn record_server_end(&self, server: Key) {
         self.with_quarantine(|quarantine, now| quarantine.record_server_end(server, now));
         self.loads_changed.notify_one();
     }
 
     /// Notes that a request was answered to its end.
-    pub fn note_sound(&self, fingerprint: Fingerprint) {
+    pub fn record_success(&self, fingerprint: Fingerprint) {
         self.with_quarantine(|quarantine, now| quarantine.record_success(fingerprint, now));
     }
 
     /// Takes what another host tells of such requests.
-    pub fn hear_quarantine(&self, finding: &[Finding]) {
+    pub fn apply_findings(&self, finding: &[Finding]) {
         if finding.is_empty() {
             return;
         }
@@ -57,7 +62,7 @@
     }
 
     /// Waits while a request is about to be judged.
-    pub async fn judged(&self, fingerprint: Fingerprint) {
+    pub async fn wait_for_verdict(&self, fingerprint: Fingerprint) {
         while self
             .state
             .borrow()
@@ -72,7 +77,7 @@
     /// Judges what is settled by now, and lets lapse what is over its time.
     pub(super) fn tick_quarantine(&self) {
         for server in self.gone_in_doubt() {
-            self.note_ended(server);
+            self.record_server_end(server);
         }
         self.with_quarantine(|quarantine, now| {
             quarantine.evaluate(now);
@@ -93,7 +98,7 @@
     }
 
     /// Waits until the store should be told what was decided on requests, and gives it.
-    pub async fn decided(&self) -> Vec<Verdict> {
+    pub async fn next_verdicts(&self) -> Vec<Verdict> {
         loop {
             let decided = std::mem::take(&mut *self.verdicts.borrow_mut());
             if !decided.is_empty() {
--- a/crates/alderglade-serve/src/node/reach.rs
+++ b/crates/alderglade-serve/src/node/reach.rs
@@ -13,11 +13,11 @@
         let now = clock::now();
         let state = &mut *self.state.borrow_mut();
         let observation = self.observation(state, now);
-        let was_cut_off = state.reach.is_disconnected(now);
-        if state.reach.observe(&observation, now) {
+        let was_cut_off = state.connectivity.is_disconnected(now);
+        if state.connectivity.observe(&observation, now) {
             self.ask_store.notify_waiters();
         }
-        let cut_off = state.reach.is_disconnected(now);
+        let cut_off = state.connectivity.is_disconnected(now);
         if cut_off != was_cut_off {
             tell_reach(cut_off, &observation, state.freshness.age(now));
         }
@@ -29,7 +29,7 @@
         let mut heard = state.loads.live_hosts(domain, now);
         Observation {
             call_failed: self.store.get().is_lost(),
-            informed: state.asks_store() || heard.any(|host| host.store.in_contact),
+            informed: state.queries_store() || heard.any(|host| host.store.in_contact),
             isolated: state.loads.is_isolated(domain, now),
             confirmed: state.freshness.confirmed(),
         }
--- a/crates/alderglade-serve/src/node/relay.rs
+++ b/crates/alderglade-serve/src/node/relay.rs
@@ -20,10 +20,10 @@
 
 impl Node {
     /// Waits until the store should be asked about a topic, and says how.
-    pub async fn errand(&self, topic: Topic) -> StoreQuery {
+    pub async fn next_store_query(&self, topic: Topic) -> StoreQuery {
         loop {
             match self.due(topic) {
-                None => self.word_changed.notified().await,
+                None => self.store_status_changed.notified().await,
                 Some(StoreQuery::Watch) => return StoreQuery::Watch,
                 Some(StoreQuery::Fetch(pause)) => {
                     let behind = topic == Topic::Config && self.is_behind();
@@ -47,8 +47,8 @@
     }
 
     /// Says whether this host watches the store, or has not found out yet that others do.
-    pub fn asks_store(&self) -> bool {
-        self.state.borrow().asks_store()
+    pub fn queries_store(&self) -> bool {
+        self.state.borrow().queries_store()
     }
 
     /// Says whether and how the store should be asked about a topic now.
@@ -60,7 +60,7 @@
         let heard: Vec<Neighbour<'_>> =
             state.loads.live_hosts(&self.settings.domain, now).collect();
         let before = state.relay.role();
-        let errand = state.relay.next_query(topic, &own, &heard, chance, now);
+        let query = state.relay.next_query(topic, &own, &heard, chance, now);
         if state.relay.role() != before {
             tell_role(state.relay.role(), &own, &heard);
             if state.relay.role() == Role::Watcher {
@@ -69,7 +69,7 @@
             // Peers judge its silence by what its last notice says, and watchers are heard more often.
             self.loads_changed.notify_one();
         }
-        errand
+        query
     }
 
     /// Gives what this host knows of the store.
@@ -83,7 +83,7 @@
             age: state.freshness.age(now),
             bound: self.settings.revocation,
             lost: self.store.get().is_lost(),
-            listed: self.consultation.knows_hosts(),
+            listed: self.startup_sync.knows_hosts(),
         }
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Gives what this host tells its peers of the store.
-    pub fn word(&self) -> StoreStatus {
+    pub fn store_status(&self) -> StoreStatus {
         let now = clock::now();
         let state = self.state.borrow();
         StoreStatus {
@@ -109,11 +109,11 @@
 
     /// Names the hosts to ask for the age of their word at a heartbeat: one now and then, every watcher where the own word is
     /// old or the store doesn't answer this host.
-    pub fn questions(&self, beat: u64) -> Vec<SocketAddr> {
+    pub fn confirmation_targets(&self, beat: u64) -> Vec<SocketAddr> {
         let now = clock::now();
         let state = self.state.borrow();
         let lost = self.store.get().is_lost();
-        if state.asks_store() && !lost {
+        if state.queries_store() && !lost {
             return Vec::new();
         }
         let age = state.freshness.age(now);
@@ -133,7 +133,7 @@
     }
 
     /// Answers a peer's question; a host without a configuration has no answer.
-    pub fn confirm(&self, ask: ConfirmationRequest) -> Option<Confirmation> {
+    pub fn answer_confirmation(&self, ask: ConfirmationRequest) -> Option<Confirmation> {
         let now = clock::now();
         let state = self.state.borrow();
         state.config.as_ref()?;
@@ -148,7 +148,7 @@
 
     /// Takes a peer's answer. It confirms only what this host knows too.
     pub fn take_confirmation(&self, answer: &Confirmation, from: SocketAddr) {
-        self.consultation.note_answer(from, answer.config);
+        self.startup_sync.note_answer(from, answer.config);
         let state = &mut *self.state.borrow_mut();
         // A peer with an older one may have it from a copy of the store.
         if state.config_version() == answer.config
@@ -160,18 +160,18 @@
     }
 
     /// Takes what a peer tells of the store in a notice.
-    pub fn take_word(&self, word: &StoreStatus) {
+    pub fn apply_store_status(&self, word: &StoreStatus) {
         if !word.in_contact {
             return;
         }
-        self.hear_era(word.era);
+        self.observe_era(word.era);
         let state = &mut *self.state.borrow_mut();
         // A watcher knows by itself; taken from each other, doubts would last for ever.
         if !state.watches_store() {
             state.take_grace(word.grace_ms);
         }
         if word.config > state.config_version() {
-            self.word_changed.notify_waiters();
+            self.store_status_changed.notify_waiters();
         }
     }
 }
--- a/crates/alderglade-serve/src/node/restart.rs
+++ b/crates/alderglade-serve/src/node/restart.rs
@@ -7,7 +7,7 @@
 
 impl Node {
     /// Says whether a server has started again since.
-    pub fn is_over(&self, server: &Server) -> bool {
+    pub fn is_superseded(&self, server: &Server) -> bool {
         self.state
             .borrow()
             .directory
@@ -15,10 +15,10 @@
     }
 
     /// Waits until a server has started again.
-    pub async fn over(&self, server: &Server) {
+    pub async fn wait_until_superseded(&self, server: &Server) {
         loop {
             let restarted = self.restarted.notified();
-            if self.is_over(server) {
+            if self.is_superseded(server) {
                 return;
             }
             restarted.await;
@@ -27,7 +27,7 @@
 
     /// Takes what a server says of itself in the answer to an order. Says whether that can be the lifetime to which the
     /// order was sent.
-    pub fn hear_status(&self, server: &Server, status: Status) -> bool {
+    pub fn apply_status(&self, server: &Server, status: Status) -> bool {
         let same = server.incarnation.may_be(status.born);
         if let Some(born) = status.born.filter(|_| !same) {
             let mut state = self.state.borrow_mut();
--- a/crates/alderglade-serve/src/node/repeats.rs
+++ b/crates/alderglade-serve/src/node/retry_budget.rs
@@ -1,6 +1,6 @@
 //! Sends beyond the first of a request: from this host's part of the budget, or from what others lend.
 
-use super::{Letter, Node, State};
+use super::{Envelope, Node, State};
 use crate::clock;
 use crate::event::{self, Record};
 use alderglade_core::Name;
@@ -19,12 +19,12 @@
 
 impl Node {
     /// Notes the first send of a request to a service.
-    pub fn first_send(&self, service: &Name) {
+    pub fn record_first_send(&self, service: &Name) {
         self.with_budget(service, |budget, now, _| budget.request(now));
     }
 
     /// Takes one repeated send to a service from the budget; asks other hosts where this one's part is used up.
-    pub async fn spend_repeat(&self, id: &str, service: &Name) -> bool {
+    pub async fn spend_retry(&self, id: &str, service: &Name) -> bool {
         if self.spend_own(service) {
             return true;
         }
@@ -38,7 +38,7 @@
         }
         let mut state = self.state.borrow_mut();
         if asked > 0 {
-            state.questions.record_refusal(service, clock::now());
+            state.loan_requests.record_refusal(service, clock::now());
         }
         drop(state);
         self.metrics.repeats_refused.inc();
@@ -47,7 +47,7 @@
     }
 
     /// Takes back a repeated send that reached no server.
-    pub fn take_back_repeat(&self, service: &Name) {
+    pub fn refund_retry(&self, service: &Name) {
         self.with_budget(service, |budget, _, _| budget.refund());
     }
 
@@ -64,7 +64,7 @@
     fn lenders(&self, service: &Name) -> Vec<SocketAddr> {
         let now = clock::now();
         let state = self.state.borrow();
-        if !state.questions.may_ask(service, now) {
+        if !state.loan_requests.may_ask(service, now) {
             return Vec::new();
         }
         let mut rng = rand::rng();
@@ -85,17 +85,17 @@
         let missing = self.with_budget(service, |budget, now, hosts| budget.missing(now, hosts));
         let request = {
             let mut state = self.state.borrow_mut();
-            state.questions.ask(service, missing, clock::now())
+            state.loan_requests.ask(service, missing, clock::now())
         };
         let number = request.number;
-        self.write_letter(Letter {
+        self.queue_envelope(Envelope {
             to: lender,
             message: Message::LoanRequest(request),
         });
         let answered = async {
             loop {
                 let lent = self.lent.notified();
-                if !self.state.borrow().questions.is_open(number) {
+                if !self.state.borrow().loan_requests.is_open(number) {
                     return;
                 }
                 lent.await;
@@ -121,7 +121,7 @@
     /// Takes what another host has lent.
     pub fn take_loan(&self, loan: Loan) {
         let now = clock::now();
-        let deposit = self.state.borrow_mut().questions.answer(loan, now);
+        let deposit = self.state.borrow_mut().loan_requests.answer(loan, now);
         if let Some(deposit) = deposit {
             self.with_budget(&deposit.service, |budget, _, _| {
                 budget.deposit(deposit.part, deposit.until);
@@ -131,7 +131,7 @@
     }
 
     /// Gives what is left of this host's own parts, in repeats, where it is least.
-    pub(super) fn repeats_left(&self, state: &mut State, now: Time) -> f64 {
+    pub(super) fn retries_left(&self, state: &mut State, now: Time) -> f64 {
         let hosts = state.known_hosts();
         let budgets = state.budgets.values_mut();
         let left = budgets.map(|budget| budget.remaining(now, hosts));
--- a/crates/alderglade-serve/src/node/consultation.rs
+++ b/crates/alderglade-serve/src/node/startup_sync.rs
@@ -1,6 +1,6 @@
 //! What other hosts tell one that has just started.
 
-use super::{Letter, Node};
+use super::{Envelope, Node};
 use crate::clock;
 use alderglade_core::fleet::message::{ConfirmationRequest, Message};
 use rand::seq::IteratorRandom;
@@ -17,7 +17,7 @@
 
 /// The questions of a host that has just started, and the answers.
 #[derive(Debug, Default)]
-pub(super) struct Consultation {
+pub(super) struct StartupSync {
     /// Whether the store has listed the hosts.
     hosts_listed: Cell<bool>,
     /// Whether it is over: others were asked, or there are none.
@@ -27,7 +27,7 @@
     step: Notify,
 }
 
-impl Consultation {
+impl StartupSync {
     /// Says whether it is over.
     pub(super) fn is_over(&self) -> bool {
         self.over.get()
@@ -55,12 +55,12 @@
 
 impl Node {
     /// Waits until the store has listed the hosts and given the configuration.
-    pub async fn meets_hosts(&self) {
+    pub async fn wait_for_hosts(&self) {
         loop {
-            let step = self.consultation.step.notified();
+            let step = self.startup_sync.step.notified();
             let learnt = self.learnt.notified();
             let has_config = self.state.borrow().config.is_some();
-            if has_config && self.consultation.hosts_listed.get() {
+            if has_config && self.startup_sync.hosts_listed.get() {
                 return;
             }
             tokio::select! {
@@ -71,24 +71,24 @@
     }
 
     /// Asks some other hosts how old their word of the store is, which tells their version too; gives how many.
-    pub fn consult(&self, most: usize) -> usize {
+    pub fn query_peers(&self, most: usize) -> usize {
         let own = &self.settings.host;
         let others = self.state.borrow().hosts.addresses_but(|name| name == own);
         let asked = others.into_iter().sample(&mut rand::rng(), most);
         let asked_us = clock::now().0;
         for to in &asked {
             let message = Message::ConfirmationRequest(ConfirmationRequest { asked_us });
-            self.write_letter(Letter { to: *to, message });
+            self.queue_envelope(Envelope { to: *to, message });
         }
         asked.len()
     }
 
     /// Waits until so many hosts have answered, or one of them has a newer configuration.
-    pub async fn is_advised_by(&self, enough: usize) {
+    pub async fn wait_for_answers(&self, enough: usize) {
         loop {
-            let step = self.consultation.step.notified();
-            let answers = self.consultation.answers.borrow().len();
-            if answers >= enough || self.advised_source().is_some() {
+            let step = self.startup_sync.step.notified();
+            let answers = self.startup_sync.answers.borrow().len();
+            if answers >= enough || self.newer_config_source().is_some() {
                 return;
             }
             step.await;
@@ -96,16 +96,16 @@
     }
 
     /// Gives a host that has told of a newer configuration than the one in force.
-    pub fn advised_source(&self) -> Option<SocketAddr> {
-        let answers = self.consultation.answers.borrow();
+    pub fn newer_config_source(&self) -> Option<SocketAddr> {
+        let answers = self.startup_sync.answers.borrow();
         let newest = answers.iter().max_by_key(|advice| advice.version)?;
         let in_force = self.state.borrow().config_version();
         (newest.version > in_force).then_some(newest.from)
     }
 
     /// Notes that others were asked, and wakes requests that wait for it.
-    pub fn end_consultation(&self) {
-        self.consultation.over.set(true);
+    pub fn finish_startup_sync(&self) {
+        self.startup_sync.over.set(true);
         self.learnt.notify_waiters();
     }
 }
--- a/crates/alderglade-serve/src/node/state.rs
+++ b/crates/alderglade-serve/src/node/state.rs
@@ -52,7 +52,7 @@
     /// The age of the store's word.
     pub freshness: Freshness,
     /// Whether the store is in reach.
-    pub(super) reach: Connectivity,
+    pub(super) connectivity: Connectivity,
     /// What is wrong with the newest configuration, where it can't be read.
     pub(super) config_fault: Option<String>,
     /// The entries of hosts that can't be read.
@@ -72,13 +72,13 @@
     /// Hosts of which they have not been told yet.
     pub(super) new_hosts: Vec<Host>,
     /// Pieces of what watchers of the store tell of the servers.
-    pub(super) pieces: Reassembly,
+    pub(super) reassembly: Reassembly,
     /// What each service may still be sent again.
     pub(super) budgets: HashMap<Name, Budget>,
     /// Hosts of other groups, of which nothing is heard, that gave no answer.
     pub(super) silent: Backoffs<Name>,
     /// What this host asks of others' budgets.
-    pub(super) questions: LoanRequests,
+    pub(super) loan_requests: LoanRequests,
     /// Own calls that run at plain backend servers.
     pub(super) calls: HashMap<Key, u32>,
 }
@@ -97,7 +97,7 @@
             backoffs: Backoffs::default(),
             limits: Limits::default(),
             freshness: Freshness::default(),
-            reach: Connectivity::default(),
+            connectivity: Connectivity::default(),
             config_fault: None,
             host_faults: Faults::default(),
             newcomers: Vec::new(),
@@ -107,10 +107,10 @@
             relay: Relay::default(),
             outbox: Vec::new(),
             new_hosts: Vec::new(),
-            pieces: Reassembly::default(),
+            reassembly: Reassembly::default(),
             budgets: HashMap::new(),
             silent: Backoffs::default(),
-            questions: LoanRequests::new(rand::rng().random()),
+            loan_requests: LoanRequests::new(rand::rng().random()),
             calls: HashMap::new(),
         }
     }
@@ -128,7 +128,7 @@
     }
 
     /// Says whether the host asks the store by itself: it watches, or has not found out yet that others do.
-    pub(super) fn asks_store(&self) -> bool {
+    pub(super) fn queries_store(&self) -> bool {
         self.relay.role() != Role::Follower
     }
 
--- a/crates/alderglade-serve/src/node/statement.rs
+++ b/crates/alderglade-serve/src/node/statement.rs
@@ -12,7 +12,7 @@
 
 impl Node {
     /// Takes what a server says of itself in the answer to something that was `sent` at a time.
-    pub fn hear_statement(&self, server: &Server, statement: &Statement, sent: Time) {
+    pub fn apply_statement(&self, server: &Server, statement: &Statement, sent: Time) {
         if statement.leaving {
             self.hear_leaving(server);
         }
@@ -58,7 +58,7 @@
     }
 
     /// Takes what peers tell of servers' limits.
-    pub fn hear_limits(&self, limits: &[LimitReport]) {
+    pub fn apply_limit_reports(&self, limits: &[LimitReport]) {
         let now = clock::now();
         for told in limits {
             let news = self.state.borrow_mut().limits.apply_report(told, now);
--- a/crates/alderglade-serve/src/node/stop.rs
+++ b/crates/alderglade-serve/src/node/stop.rs
@@ -76,7 +76,7 @@
     }
 
     /// Waits until the host ends all requests that are not answered yet.
-    pub async fn requests_end(&self) {
+    pub async fn wait_for_request_end(&self) {
         let mut ending = self.ending.subscribe();
         if ending.wait_for(|ending| *ending).await.is_err() {
             // The sender lives as long as the host itself.
@@ -85,7 +85,7 @@
     }
 
     /// Writes that the host ends now.
-    pub fn tell_stopped(&self) {
+    pub fn log_stopped(&self) {
         let cut_off = usize::try_from(self.metrics.cut_off.get()).unwrap_or(usize::MAX);
         event::write(&Record::Stopped {
             cut_off,
@@ -104,7 +104,7 @@
 
     /// Says whether a request may be sent to its first backend server. What is refused from now on can't be cut off at
     /// the host's end, however long its answer would have taken.
-    pub fn takes_requests(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         let most = self.still_taken();
         self.stopping_for().is_none_or(|passed| passed < most)
     }
@@ -115,12 +115,12 @@
     }
 
     /// Waits until the host, which is stopping, takes no more requests.
-    pub async fn takes_no_more(&self) {
+    pub async fn wait_until_closed(&self) {
         self.stopped_for(self.still_taken()).await;
     }
 
     /// Says whether a stopping host should end what is not answered yet: it ends soon.
-    pub fn is_near_its_end(&self) -> bool {
+    pub fn is_near_end(&self) -> bool {
         self.ends_in().is_some_and(|left| left <= self.flush_time())
     }
 
--- a/crates/alderglade-serve/src/node/store.rs
+++ b/crates/alderglade-serve/src/node/store.rs
@@ -21,7 +21,7 @@
 
 /// What the store has told.
 #[derive(Debug)]
-pub enum News {
+pub enum StoreEvent {
     /// A configuration.
     Config(Config),
     /// A configuration that can't be read.
@@ -106,57 +106,59 @@
 
 impl Node {
     /// Takes what the store has told.
-    pub fn learn(&self, news: News) {
+    pub fn apply_store_event(&self, news: StoreEvent) {
         let now = clock::now();
         match news {
-            News::Config(config) => self.take_config(config),
-            News::ConfigUnreadable(problem) => self.tell_config_fault(problem),
-            News::Servers { all, position } => self.take_list(all, position, now),
-            News::Changes {
+            StoreEvent::Config(config) => self.take_config(config),
+            StoreEvent::ConfigUnreadable(problem) => self.tell_config_fault(problem),
+            StoreEvent::Servers { all, position } => self.take_list(all, position, now),
+            StoreEvent::Changes {
                 changes,
                 after,
                 position,
             } => self.take_changes(after, &changes, position, now),
-            News::HostUnreadable(fault) => self.host_faults(|faults| faults.note(&fault)),
-            News::Host(host) => {
+            StoreEvent::HostUnreadable(fault) => self.host_faults(|faults| faults.note(&fault)),
+            StoreEvent::Host(host) => {
                 self.host_faults(|faults| faults.clear(&host.name));
                 self.tell_host(&host);
                 self.state.borrow_mut().hosts.insert(host);
             }
-            News::HostsListed => {
-                self.consultation.note_hosts();
+            StoreEvent::HostsListed => {
+                self.startup_sync.note_hosts();
                 self.regroup();
                 // The others hear of this host at once, and it of them.
                 self.loads_changed.notify_one();
             }
-            News::HostGone(name) => {
+            StoreEvent::HostGone(name) => {
                 self.host_faults(|faults| faults.clear(&name));
                 self.state.borrow_mut().hosts.remove(&name);
             }
-            News::Quarantined(asked, left) => {
+            StoreEvent::Quarantined(asked, left) => {
                 self.with_quarantine(|quarantine, now| {
                     quarantine.apply_stored_bar(asked, left, now)
                 });
             }
-            News::Released(asked) => {
+            StoreEvent::Released(asked) => {
                 self.with_quarantine(|quarantine, now| quarantine.apply_stored_release(asked, now));
             }
-            News::QuarantineRestored(listed) => {
+            StoreEvent::QuarantineRestored(listed) => {
                 self.with_quarantine(|quarantine, now| quarantine.restore(&listed, now));
             }
-            News::Evacuations { domains, position } => self.take_evacuations(domains, position),
-            News::EvacuationChanges { changes, position } => {
+            StoreEvent::Evacuations { domains, position } => {
+                self.take_evacuations(domains, position)
+            }
+            StoreEvent::EvacuationChanges { changes, position } => {
                 self.change_evacuations(&changes, position);
             }
-            News::Confirmed { at, held } => self.confirm_config(at, held),
-            News::Lost(problem) => self.store_lost(&problem),
-            News::Answered => self.store_answered(now),
+            StoreEvent::Confirmed { at, held } => self.confirm_config(at, held),
+            StoreEvent::Lost(problem) => self.store_lost(&problem),
+            StoreEvent::Answered => self.store_answered(now),
         }
     }
 
     /// Gives the configuration in force. A host that has just started waits for it and for the first list of
     /// servers, but no longer than `patience`.
-    pub async fn config_soon(&self, patience: Duration) -> Option<Rc<Config>> {
+    pub async fn wait_for_config(&self, patience: Duration) -> Option<Rc<Config>> {
         let known = async {
             while !self.has_learnt() {
                 self.learnt.notified().await;
@@ -175,7 +177,7 @@
     fn has_learnt(&self) -> bool {
         let state = self.state.borrow();
         let known = state.config.is_some() && state.directory.is_listed();
-        known && self.knows_evacuations(&state) && self.consultation.is_over()
+        known && self.knows_evacuations(&state) && self.startup_sync.is_over()
     }
 
     /// Takes the whole list of backend servers, unless peers have told of later changes while it was on its way.
--- a/crates/alderglade-serve/src/order.rs
+++ b/crates/alderglade-serve/src/order.rs
@@ -56,6 +56,6 @@
     };
     let answer = answer.context(ContactSnafu)?;
     let statement = node.translator.statement(answer.status(), answer.headers());
-    node.hear_statement(server, &statement, sent);
+    node.apply_statement(server, &statement, sent);
     Ok(answer)
 }
--- a/crates/alderglade-serve/src/peer.rs
+++ b/crates/alderglade-serve/src/peer.rs
@@ -3,9 +3,9 @@
 //!
 //! A message that is lost is made good by a later one, so nothing is acknowledged or sent again.
 
-mod consult;
 mod copy;
 mod hear;
+mod startup_sync;
 mod tell;
 
 pub use copy::serve as serve_copies;
@@ -30,7 +30,7 @@
     tokio::task::spawn_local(hear::run(node.clone(), socket));
     tokio::task::spawn_local(tell_changes(node.clone(), teller.clone()));
     tokio::task::spawn_local(send_letters(node.clone(), teller.clone()));
-    tokio::task::spawn_local(consult::run(node.clone()));
+    tokio::task::spawn_local(startup_sync::run(node.clone()));
     let mut suspension = Suspension::default();
     let mut beat = tokio::time::interval(heartbeat::MIN_INTERVAL);
     beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -59,8 +59,8 @@
 /// Sends messages to single hosts as soon as they are written.
 async fn send_letters(node: Rc<Node>, teller: tell::Teller) {
     loop {
-        node.letters_written.notified().await;
-        teller.letters().await;
+        node.envelopes_queued.notified().await;
+        teller.envelopes().await;
     }
 }
 
--- a/crates/alderglade-serve/src/peer/hear.rs
+++ b/crates/alderglade-serve/src/peer/hear.rs
@@ -41,20 +41,25 @@
         Message::ForwardedNotice(passed) => take_notice(node, &passed.notice, passed.origin),
         Message::ConfirmationRequest(ask) => answer(node, socket, ask, sender).await,
         Message::Confirmation(confirmation) => node.take_confirmation(&confirmation, sender),
-        Message::StoreUpdate(update) => node.take_learnt(&update),
+        Message::StoreUpdate(update) => node.apply_store_update(&update),
         Message::StoreUpdateToForward(update) => relay(node, socket, update).await,
         Message::LoanRequest(request) => lend(node, socket, &request, sender).await,
         Message::Loan(loan) => node.take_loan(loan),
         Message::GrantRequest(request) => grant(node, socket, &request, sender).await,
-        Message::Grant(grant) => node.take_grant(grant),
+        Message::Grant(grant) => node.apply_grant(grant),
     }
 }
 
 /// Takes what the store has told, and passes it on to the hosts of the own group and failure domain.
 async fn relay(node: &Node, socket: &UdpSocket, update: StoreUpdate) {
-    node.take_learnt(&update);
+    node.apply_store_update(&update);
     node.metrics.passed_on.inc();
-    tell::send(socket, &Message::StoreUpdate(update), &node.near_hosts()).await;
+    tell::send(
+        socket,
+        &Message::StoreUpdate(update),
+        &node.same_domain_hosts(),
+    )
+    .await;
 }
 
 /// Takes a notice and passes it on to the hosts of the own group and failure domain.
@@ -62,7 +67,7 @@
     take_notice(node, &notice, origin);
     node.metrics.passed_on.inc();
     let message = Message::ForwardedNotice(ForwardedNotice { origin, notice });
-    tell::send(socket, &message, &node.near_hosts()).await;
+    tell::send(socket, &message, &node.same_domain_hosts()).await;
 }
 
 /// Takes what a peer holds and what it tells of the servers and the store.
@@ -93,11 +98,11 @@
         });
     }
     drop(state);
-    node.hear_limits(&notice.limits);
-    node.hear_cold(&notice.cold);
-    node.hear_evacuations(&notice.evacuations);
-    node.hear_quarantine(&notice.quarantine);
-    node.take_word(&notice.store);
+    node.apply_limit_reports(&notice.limits);
+    node.apply_cold_reports(&notice.cold);
+    node.apply_evacuations(&notice.evacuations);
+    node.apply_findings(&notice.quarantine);
+    node.apply_store_status(&notice.store);
 }
 
 /// Lends a peer a part of this host's budget of repeated sends.
@@ -114,7 +119,7 @@
 
 /// Tells a peer the age of this host's word of the store, if it has one.
 async fn answer(node: &Node, socket: &UdpSocket, ask: ConfirmationRequest, sender: SocketAddr) {
-    if let Some(confirmation) = node.confirm(ask) {
+    if let Some(confirmation) = node.answer_confirmation(ask) {
         let message = Message::Confirmation(confirmation);
         tell::send(socket, &message, &[sender]).await;
     }
--- a/crates/alderglade-serve/src/peer/consult.rs
+++ b/crates/alderglade-serve/src/peer/startup_sync.rs
@@ -21,16 +21,16 @@
 /// Asks some of the other hosts, once the store has listed them and has given the configuration; requests that have come by
 /// then wait for it.
 pub(super) async fn run(node: Rc<Node>) {
-    node.meets_hosts().await;
-    let asked = node.consult(ASKED);
+    node.wait_for_hosts().await;
+    let asked = node.query_peers(ASKED);
     if asked > 0 {
-        let enough = node.is_advised_by(ENOUGH.min(asked));
+        let enough = node.wait_for_answers(ENOUGH.min(asked));
         // In vain or not, what is known then counts.
         let _ = clock::timeout(ANSWERS, enough).await;
     }
-    if let Some(source) = node.advised_source() {
+    if let Some(source) = node.newer_config_source() {
         let copied = copy::take_config(node.clone(), source);
         let _ = clock::timeout(COPY, copied).await;
     }
-    node.end_consultation();
+    node.finish_startup_sync();
 }
--- a/crates/alderglade-serve/src/peer/tell.rs
+++ b/crates/alderglade-serve/src/peer/tell.rs
@@ -2,7 +2,7 @@
 
 use super::tell_fault;
 use crate::clock;
-use crate::node::{Node, Ways};
+use crate::node::{Node, Recipients};
 use alderglade_core::fleet::heartbeat::{Due, Schedule};
 use alderglade_core::fleet::load_table::{Holding, Notice};
 use alderglade_core::fleet::message::{ConfirmationRequest, Message};
@@ -68,7 +68,7 @@
 
     /// Asks for the age of the watchers' word, where this host goes by it.
     pub(super) async fn ask(&self, beat: u64) {
-        let hosts = self.node.questions(beat);
+        let hosts = self.node.confirmation_targets(beat);
         if hosts.is_empty() {
             return;
         }
@@ -81,9 +81,9 @@
     }
 
     /// Sends what is meant for single hosts.
-    pub(super) async fn letters(&self) {
-        for letter in self.node.take_letters() {
-            self.send(&letter.message, &[letter.to]).await;
+    pub(super) async fn envelopes(&self) {
+        for envelope in self.node.take_envelopes() {
+            self.send(&envelope.message, &[envelope.to]).await;
         }
     }
 
@@ -93,7 +93,7 @@
         if outbox.is_empty() {
             return;
         }
-        let near = self.node.near_hosts();
+        let near = self.node.same_domain_hosts();
         let gateways = self.node.domain_gateways(self.beat.get());
         for update in outbox {
             self.send(&Message::StoreUpdate(update.clone()), &near)
@@ -111,7 +111,7 @@
         if chunks.is_empty() {
             chunks.push(Vec::new());
         }
-        let Ways { direct, through } = self.node.ways(self.beat.get());
+        let Recipients { direct, through } = self.node.recipients(self.beat.get());
         for (number, holdings) in chunks.into_iter().enumerate() {
             let notice = self.notice(holdings, whole && number == 0);
             let others = self.node.notice_for_others(&notice, self.beat.get());
@@ -128,7 +128,7 @@
     /// Makes the next notice.
     fn notice(&self, holdings: Vec<Holding>, whole: bool) -> Notice {
         self.sequence.set(self.sequence.get() + 1);
-        let word = self.node.word();
+        let word = self.node.store_status();
         let interval = self.node.heartbeat();
         let state = &mut *self.node.state.borrow_mut();
         Notice {
--- a/crates/alderglade-serve/src/relay.rs
+++ b/crates/alderglade-serve/src/relay.rs
@@ -6,11 +6,11 @@
 
 use crate::answer::Content;
 use crate::attempt;
+use crate::body_sender::{BodySender, CallerGone};
 use crate::clock;
 use crate::generate::{Open, Tries};
 use crate::job::Job;
 use crate::node::{InFlight, Node, Stage};
-use crate::outlet::{Gone, Outlet};
 use crate::slowdown;
 use alderglade_core::fleet::caller;
 use alderglade_core::fleet::config::Kind;
@@ -35,7 +35,7 @@
     node: Rc<Node>,
     job: Job,
     tries: Tries,
-    outlet: Outlet,
+    body_sender: BodySender,
     /// The id of the last event that was passed on.
     last_event: Option<String>,
     /// When the first event left.
@@ -64,17 +64,17 @@
     open: Open,
     in_flight: InFlight,
 ) -> Response<Content> {
-    let (outlet, receiver) = Outlet::open(&node.memory);
+    let (body_sender, receiver) = BodySender::open(&node.memory);
     let mut response = Response::new(Content::Stream(receiver));
     *response.status_mut() = open.exchange.head.status;
     *response.headers_mut() = node.translator.give_back(&open.exchange.head.headers);
     response.headers_mut().remove(http::header::CONTENT_LENGTH);
     let relay = Relay {
         node: node.clone(),
-        last_event: job.ask.last_event.clone(),
+        last_event: job.info.last_event.clone(),
         job,
         tries,
-        outlet,
+        body_sender,
         first_at: None,
         last_at: None,
         longest_pause: Duration::ZERO,
@@ -91,7 +91,7 @@
         let end = tokio::select! {
             biased;
             end = self.pass_on(open) => end,
-            () = node.requests_end() => End::HostStops,
+            () = node.wait_for_request_end() => End::HostStops,
         };
         match end {
             End::Whole => self.tell_answered(),
@@ -108,14 +108,14 @@
         loop {
             match self.pass_on_events(&mut part).await {
                 Ok(()) => {
-                    self.node.note(part.server.key(), Outcome::Sound);
-                    self.node.note_sound(self.job.asked);
+                    self.node.record_outcome(part.server.key(), Outcome::Sound);
+                    self.node.record_success(self.job.fingerprint);
                     part.connection.recycle();
                     return End::Whole;
                 }
                 Err(Break::Silent) => match self.take_over(&mut part).await {
                     Ok(None) => {
-                        part.held.take_back();
+                        part.held.resume();
                         self.note_stage(&part);
                     }
                     Ok(Some(open)) => part = self.begin(open),
@@ -155,7 +155,7 @@
     /// Notes that a server has failed the stream.
     fn note_failed(&mut self, part: &Part, problem: &str) {
         attempt::tell(&self.job, &part.server, self.tries.all, problem);
-        self.node.note(part.server.key(), Outcome::Failed);
+        self.node.record_outcome(part.server.key(), Outcome::Failed);
         self.tries.avoid.push(part.server.key());
     }
 
@@ -194,8 +194,8 @@
     async fn hand_on(&self, bytes: Vec<u8>) -> Result<(), Break> {
         tokio::select! {
             biased;
-            sent = self.outlet.hand_on(bytes.into()) => {
-                sent.map_err(|Gone| Break::End(End::CallerLeft))
+            sent = self.body_sender.hand_on(bytes.into()) => {
+                sent.map_err(|CallerGone| Break::End(End::CallerLeft))
             }
             () = clock::sleep_until(self.job.ends) => Err(Break::End(End::Expired)),
         }
@@ -205,7 +205,7 @@
     async fn next_with_room(&self, part: &mut Part) -> Result<Option<Bytes>, Break> {
         tokio::select! {
             biased;
-            () = self.outlet.room() => {}
+            () = self.body_sender.room() => {}
             () = clock::sleep_until(self.job.ends) => return Err(Break::End(End::Expired)),
         }
         self.next(part).await
@@ -241,7 +241,7 @@
                 Break::Failed(attempt::STARTED_AGAIN.to_string())
             }),
             () = clock::patience(silence), if may_resume => Err(Break::Silent),
-            () = self.outlet.closed() => Err(Break::End(End::CallerLeft)),
+            () = self.body_sender.closed() => Err(Break::End(End::CallerLeft)),
             () = clock::sleep_until(ends) => Err(Break::End(End::Expired)),
         }
     }
@@ -267,8 +267,8 @@
         }
         if part.began.is_none() {
             part.began = Some(clock::now());
-            part.silence = SILENCE.min(caller::silence_timeout(self.job.patience()));
-            part.held.read();
+            part.silence = SILENCE.min(caller::silence_timeout(self.job.caller_timeout()));
+            part.held.mark_read();
             part.reading.end(&self.node);
         }
     }
--- a/crates/alderglade-serve/src/relay/end.rs
+++ b/crates/alderglade-serve/src/relay/end.rs
@@ -21,22 +21,22 @@
 impl Relay {
     /// Writes that the caller has left.
     pub(super) fn tell_caller_left(&self) {
-        let id = &self.job.ask.id;
+        let id = &self.job.info.id;
         event::write(&Record::CallerLeft { id });
     }
 
     /// Breaks the answer off, which shows the caller that it isn't whole.
     pub(super) fn break_off(&mut self, problem: &str) {
         event::write(&Record::BrokenOff {
-            id: &self.job.ask.id,
+            id: &self.job.info.id,
             problem,
             took_ms: self.job.waited().as_millis() as u64,
             stopping_ms: self.node.stopping_ms(),
         });
         let answers = &self.node.metrics.answers;
         answers.with_label_values(&["broken_off"]).inc();
-        if !self.outlet.break_off() {
-            log::debug!("the caller of {} left as it was told", self.job.ask.id);
+        if !self.body_sender.break_off() {
+            log::debug!("the caller of {} left as it was told", self.job.info.id);
         }
     }
 
@@ -53,7 +53,7 @@
         metrics.first.observe(first.as_secs_f64());
         metrics.answers.with_label_values(&["served"]).inc();
         event::write(&Record::Answered {
-            id: &self.job.ask.id,
+            id: &self.job.info.id,
             status: 200,
             took_ms: self.job.waited().as_millis() as u64,
             first_ms: first.as_millis() as u64,
--- a/crates/alderglade-serve/src/relay/part.rs
+++ b/crates/alderglade-serve/src/relay/part.rs
@@ -2,7 +2,7 @@
 
 use crate::client::Connection;
 use crate::generate::Open;
-use crate::node::{Held, Node};
+use crate::node::{Node, ReservationGuard};
 use crate::slowdown::Reading;
 use crate::ticket::Tickets;
 use alderglade_core::fleet::directory::Server;
@@ -25,7 +25,7 @@
     pub connection: Connection,
     pub splitter: Splitter,
     /// The placement in the book.
-    pub held: Held,
+    pub held: ReservationGuard,
     /// Memory that was set aside.
     tickets: Option<Tickets>,
     /// Who reads the prompt.
@@ -63,7 +63,7 @@
 
     /// Gives back what is taken up at a server that has failed.
     pub fn give_back(&mut self) {
-        self.held.set_aside();
+        self.held.suspend();
         self.tickets = None;
     }
 
@@ -75,7 +75,7 @@
             // What is there goes before any sign that nothing more comes.
             biased;
             frame = body.frame() => Some(frame),
-            () = node.over(server) => None,
+            () = node.wait_until_superseded(server) => None,
         }
     }
 
--- a/crates/alderglade-serve/src/relay/take_over.rs
+++ b/crates/alderglade-serve/src/relay/take_over.rs
@@ -20,7 +20,7 @@
         ));
         tokio::select! {
             reopened = reopen => reopened.map_err(|refusal| End::Failed(refusal.kind.label().to_string())),
-            () = self.outlet.closed() => Err(End::CallerLeft),
+            () = self.body_sender.closed() => Err(End::CallerLeft),
         }
     }
 
@@ -34,7 +34,7 @@
             part.noted_silent = true;
             self.note_failed(part, "silence");
         }
-        part.held.set_aside();
+        part.held.suspend();
         let ends = self.job.ends;
         let last_event = self.last_event.clone();
         let mut reopen = Box::pin(generate::open(
@@ -65,7 +65,7 @@
                         return Ok(None);
                     }
                 },
-                () = self.outlet.closed() => return Err(End::CallerLeft),
+                () = self.body_sender.closed() => return Err(End::CallerLeft),
                 () = clock::sleep_until(ends) => return Err(End::Expired),
             }
         }
--- a/crates/alderglade-serve/src/slowdown.rs
+++ b/crates/alderglade-serve/src/slowdown.rs
@@ -82,7 +82,7 @@
     match report {
         Ok(answer) => {
             let status = node.translator.status(answer.body());
-            let same = node.hear_status(&server, status);
+            let same = node.apply_status(&server, status);
             status.slowdown.filter(|_| same)
         }
         Err(error) => {
--- a/crates/alderglade-serve/src/ticket.rs
+++ b/crates/alderglade-serve/src/ticket.rs
@@ -159,12 +159,12 @@
 /// Says whether an engine's answer is of the lifetime that the memory was asked of.
 fn hears(node: &Node, taken: &Taken, answer: &Response<Bytes>) -> bool {
     let status = node.translator.status(answer.body());
-    node.hear_status(&taken.server, status)
+    node.apply_status(&taken.server, status)
 }
 
 /// Renews a share, unless its engine has started again: that one holds nothing, and would set memory aside anew.
 async fn renew(node: &Rc<Node>, taken: &Taken, hold: Duration) {
-    if node.is_over(&taken.server) {
+    if node.is_superseded(&taken.server) {
         return;
     }
     let order = node.translator.reserve(&taken.name, &taken.share, hold);
--- a/crates/alderglade-serve/src/translate.rs
+++ b/crates/alderglade-serve/src/translate.rs
@@ -25,21 +25,21 @@
     /// Its length in tokens.
     pub tokens: u64,
     /// The most tokens of the answer.
-    pub most_out: u64,
+    pub max_output: u64,
     /// The caller's estimate of the tokens of the answer.
-    pub expected_out: Option<u64>,
+    pub output_estimate: Option<u64>,
 }
 
 impl Prompt {
     /// Gives the tokens that the answer is likely to have: the caller's estimate, else the most.
-    pub fn likely_out(&self) -> u64 {
-        self.expected_out.unwrap_or(self.most_out)
+    pub fn expected_output_tokens(&self) -> u64 {
+        self.output_estimate.unwrap_or(self.max_output)
     }
 }
 
 /// What a caller says of its request beside method, path and body.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct RequestInfo {
     /// The request's identity, new with each attempt of a caller.
     pub id: Name,
     /// How long the caller waits.
@@ -118,7 +118,7 @@
     /// # Errors
     ///
     /// Where a header is missing or can't be understood.
-    fn ask(&self, head: &HeaderMap) -> Result<Ask, Malformed>;
+    fn ask(&self, head: &HeaderMap) -> Result<RequestInfo, Malformed>;
 
     /// Gives the headers that go to a backend server. Headers that only the system may set are
     /// dropped from what the caller sent.
--- a/crates/alderglade-serve/src/unary.rs
+++ b/crates/alderglade-serve/src/unary.rs
@@ -1,15 +1,15 @@
 //! Requests that are answered at once by plain backend servers.
 
-use crate::answer::{Content, Piece};
+use crate::answer::{Chunk, Content};
 use crate::attempt::{self, Miss};
+use crate::body_sender::{BodySender, CallerGone};
 use crate::client::{Collected, Exchange, Rest};
 use crate::clock;
 use crate::event::{self, Record};
 use crate::forward;
 use crate::job::Job;
 use crate::memory::Portion;
-use crate::node::{Closing, Node, Permit, Stage};
-use crate::outlet::{Gone, Outlet};
+use crate::node::{Node, Permit, Stage, Unavailability};
 use crate::translate::Reply;
 use alderglade_core::Name;
 use alderglade_core::error::Kind as ErrorKind;
@@ -38,7 +38,7 @@
 
 /// A server's answer: all of it, or as much as the host has memory for.
 struct Taken {
-    first: Piece,
+    first: Chunk,
     /// What is still to come.
     rest: Option<Rest>,
 }
@@ -49,13 +49,13 @@
         let Some(rest) = self.rest else {
             return Content::Whole(Some(self.first));
         };
-        let (outlet, receiver) = Outlet::open(&node.memory);
-        outlet.begin(self.first);
+        let (body_sender, receiver) = BodySender::open(&node.memory);
+        body_sender.begin(self.first);
         let flow = Flow {
             node: node.clone(),
-            id: job.ask.id.clone(),
+            id: job.info.id.clone(),
             ends: job.ends,
-            outlet,
+            body_sender,
             rest,
         };
         tokio::task::spawn_local(flow.run());
@@ -71,7 +71,7 @@
     node: Rc<Node>,
     id: Name,
     ends: Time,
-    outlet: Outlet,
+    body_sender: BodySender,
     rest: Rest,
 }
 
@@ -82,31 +82,31 @@
         let passed_on = tokio::select! {
             biased;
             passed_on = self.pass_on() => passed_on,
-            () = node.requests_end() => Err("the host stops".to_string()),
+            () = node.wait_for_request_end() => Err("the host stops".to_string()),
             () = clock::sleep_until(ends) => Err("the time is over".to_string()),
         };
         match passed_on {
             Ok(()) => self.rest.connection.recycle(),
             Err(problem) => {
                 log::info!("the answer to {} was broken off: {problem}", self.id);
-                self.outlet.break_off();
+                self.body_sender.break_off();
             }
         }
     }
 
     async fn pass_on(&mut self) -> Result<(), String> {
         loop {
-            self.outlet.room().await;
+            self.body_sender.room().await;
             let data = tokio::select! {
                 biased;
                 data = self.rest.next() => data.map_err(|error| error.to_string())?,
-                () = self.outlet.closed() => return Err(LEFT.to_string()),
+                () = self.body_sender.closed() => return Err(LEFT.to_string()),
             };
             let Some(data) = data else {
                 return Ok(());
             };
-            let sent = self.outlet.hand_on(data).await;
-            sent.map_err(|Gone| LEFT.to_string())?;
+            let sent = self.body_sender.hand_on(data).await;
+            sent.map_err(|CallerGone| LEFT.to_string())?;
         }
     }
 }
@@ -130,7 +130,7 @@
     let result = run(node, &job).await;
     match result {
         Ok(response) => finish(node, &job, response),
-        Err(refusal) => forward::refuse(node, &job.ask.id, &refusal, job.arrived()),
+        Err(refusal) => forward::refuse(node, &job.info.id, &refusal, job.arrived()),
     }
 }
 
@@ -138,7 +138,7 @@
 /// to an answer, the caller gets that failure.
 async fn run(node: &Rc<Node>, job: &Job) -> Result<Response<Taken>, Refusal> {
     let mut failed = None;
-    node.first_send(&job.service);
+    node.record_first_send(&job.service);
     let result = try_servers(node, job, &mut failed).await;
     result.or_else(|refusal| failed.ok_or(refusal))
 }
@@ -172,7 +172,7 @@
                 life = waiting;
                 sends -= 1;
                 if sends > 0 {
-                    node.take_back_repeat(&job.service);
+                    node.refund_retry(&job.service);
                 }
             }
             Try::Missed(waiting) if waiting.may_have_run() && !job.route.kind.is_repeatable() => {
@@ -198,14 +198,14 @@
     tried: &[Key],
     sends: u32,
 ) -> Result<Choice, Refusal> {
-    if !life.may_have_run() && !node.takes_requests() {
+    if !life.may_have_run() && !node.accepts_requests() {
         return Err(life.refuse(ErrorKind::Draining, COME_BACK));
     }
     let Some(choice) = permitted(node, job, tried).await else {
         return Err(no_server(node, job, life));
     };
     let used_up = sends >= job.route.max_attempts.max(1) || tried.len() >= MOST_CONNECTS;
-    if used_up || (sends > 0 && !node.spend_repeat(&job.ask.id, &job.service).await) {
+    if used_up || (sends > 0 && !node.spend_retry(&job.info.id, &job.service).await) {
         return Err(life.refuse(ErrorKind::Overloaded, COME_BACK));
     }
     Ok(choice)
@@ -214,7 +214,7 @@
 /// Picks a server that takes the request now, if there is one.
 async fn permitted(node: &Node, job: &Job, tried: &[Key]) -> Option<Choice> {
     while !job.left().is_zero() {
-        let server = node.pick(&job.service, &job.homes, tried)?;
+        let server = node.pick_server(&job.service, &job.homes, tried)?;
         // One that takes nothing now isn't picked the next time.
         if let Ok(permit) = node.permit(server.key()).await {
             return Some(Choice { server, permit });
@@ -225,8 +225,8 @@
 
 /// Refuses a request that no server takes now. Where that is for a while only, its caller hears for how long.
 fn no_server(node: &Node, job: &Job, life: &Life<Waiting>) -> Refusal {
-    match node.closing(&job.service, &job.homes) {
-        Some(Closing { kind, after }) => life.refuse(kind, after),
+    match node.unavailability(&job.service, &job.homes) {
+        Some(Unavailability { kind, after }) => life.refuse(kind, after),
         None => life.refuse(ErrorKind::NoCapacity, COME_BACK),
     }
 }
@@ -243,7 +243,7 @@
 ) -> Try {
     let Choice { server, permit } = choice;
     let server = &server;
-    let _call = node.call(server.key());
+    let _call = node.track_call(server.key());
     tell_placed(node, job, server, sends);
     job.progress.set_stage(Stage::Sent(server.id().clone()));
     let more = sends < job.route.max_attempts && job.route.kind.is_repeatable();
@@ -279,13 +279,13 @@
     clock::patience(job.left().mul_f64(FIRST_TRY)).await;
     attempt::note_silent(node, job, silent, sends, attempt::NO_ANSWER);
     loop {
-        let other = node.pick(&job.service, &job.homes, tried);
+        let other = node.pick_server(&job.service, &job.homes, tried);
         let other = other.filter(|server| !tried.contains(&server.key()));
         let cut_short = node.ends_in().is_some_and(|left| left < job.left());
         let room = tried.len() < MOST_CONNECTS && !cut_short;
         if let Some(server) = other.filter(|_| room)
             && let Ok(permit) = node.permit(server.key()).await
-            && node.spend_repeat(&job.ask.id, &job.service).await
+            && node.spend_retry(&job.info.id, &job.service).await
         {
             return Choice { server, permit };
         }
@@ -295,8 +295,8 @@
 
 fn tell_placed(node: &Node, job: &Job, server: &Server, attempt: u32) {
     event::write(&Record::Placed {
-        id: &job.ask.id,
-        asked: job.asked,
+        id: &job.info.id,
+        asked: job.fingerprint,
         server: server.id(),
         attempt,
         prompt: 0,
@@ -326,7 +326,7 @@
         Ok(Collected::Partly(response, rest)) => (response, Some(rest)),
         Err(error) => {
             attempt::tell(job, server, number, &error.to_string());
-            node.note(server.key(), Outcome::Failed);
+            node.record_outcome(server.key(), Outcome::Failed);
             attempt::broken_off(node, job, server, None).await;
             return Err(Miss::Lost);
         }
@@ -336,7 +336,7 @@
     let promises = matches!(status.as_u16(), 408 | 421 | 429 | 503);
     if promises || (status.is_success() && !genuine) {
         attempt::tell(job, server, number, "the answer can't be trusted");
-        node.note(server.key(), Outcome::Failed);
+        node.record_outcome(server.key(), Outcome::Failed);
         return Err(Miss::Lost);
     }
     let failed = status.is_server_error() && status != StatusCode::GATEWAY_TIMEOUT;
@@ -345,12 +345,12 @@
     } else {
         Outcome::Sound
     };
-    node.note(server.key(), outcome);
+    node.record_outcome(server.key(), outcome);
     if outcome == Outcome::Sound {
-        node.note_sound(job.asked);
+        node.record_success(job.fingerprint);
     }
     Ok(response.map(|body| Taken {
-        first: Piece::new(body, kept),
+        first: Chunk::new(body, kept),
         rest,
     }))
 }
@@ -383,7 +383,7 @@
     };
     node.metrics.answers.with_label_values(&[class]).inc();
     event::write(&Record::Answered {
-        id: &job.ask.id,
+        id: &job.info.id,
         status: status.as_u16(),
         took_ms: took.as_millis() as u64,
         first_ms: took.as_millis() as u64,
