--- a/crates/alderglade-core/tests/testsuite/fleet/budget.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/budget.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_host_alone_has_some_repeats_before_any_request() {
+fn a_host_alone_has_some_retries_before_any_request() {
     let mut budget = Budget::new(BOUND, Time(0));
     assert!(budget.spend(Time(0), 1));
 }
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_repeat_that_reached_nobody_is_given_back() {
+fn a_retry_that_reached_nobody_is_given_back() {
     let mut budget = Budget::new(BOUND, Time(0));
     while budget.spend(Time(0), 4) {}
     budget.refund();
@@ -85,7 +85,7 @@
 
 /// The host that has borrowed it may still use it.
 #[test]
-fn a_repeat_that_is_given_back_is_never_one_that_was_lent() {
+fn a_retry_that_is_given_back_is_never_one_that_was_lent() {
     let now = Time(0) + BOUND.window * 3;
     let mut budget = Budget::new(BOUND, Time(0));
     let whole = budget.remaining(now, 4);
--- a/crates/alderglade-core/tests/testsuite/fleet/health.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/health.rs
@@ -5,7 +5,7 @@
 use alderglade_core::time::Time;
 
 #[test]
-fn a_silent_server_is_passed_over_for_a_while_that_grows() {
+fn a_silent_server_is_ejected_for_a_while_that_grows() {
     let mut health = Health::default();
     let id = key("a");
     health.record(id, Outcome::Silent, Time(0));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_server_that_refuses_work_is_passed_over_on_a_peers_word_too() {
+fn a_server_that_refuses_work_is_ejected_on_a_peers_word_too() {
     let id = key("a");
     let mut told = Health::default();
     told.eject(id, Time(0));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn no_peer_has_a_server_passed_over_for_longer_than_a_servers_word_counts() {
+fn no_peer_has_a_server_ejected_for_longer_than_a_servers_word_counts() {
     let mut health = Health::default();
     let told = Ejection {
         server: key("a"),
@@ -103,7 +103,7 @@
 
 /// After a crash of many servers each host found each of them by its own failures.
 #[test]
-fn a_server_at_whose_address_nobody_listens_is_passed_over_by_all_and_a_silent_one_is_not() {
+fn a_server_at_whose_address_nobody_listens_is_ejected_by_all_and_a_silent_one_is_not() {
     let (closed, silent) = (key("a"), key("b"));
     let mut finder = Health::default();
     finder.record(closed, Outcome::Closed, Time(0));
--- a/crates/alderglade-core/tests/testsuite/fleet/loan.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/loan.rs
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn parts_of_several_hosts_make_a_repeat() {
+fn parts_of_several_hosts_make_a_retry() {
     let now = Time(0) + BOUND.window * 3;
     let mut budget = Budget::new(BOUND, Time(0));
     while budget.spend(now, 295) {}
--- a/crates/alderglade-core/tests/testsuite/fleet/relay.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/relay.rs
@@ -24,7 +24,7 @@
     }
 }
 
-fn word(in_contact: bool) -> StoreStatus {
+fn status(in_contact: bool) -> StoreStatus {
     StoreStatus {
         in_contact,
         config: 7,
@@ -54,11 +54,11 @@
 
     fn list(&self) -> Vec<Neighbour<'_>> {
         let both = self.names.iter().zip(&self.words);
-        both.map(|(name, word)| Neighbour {
+        both.map(|(name, status)| Neighbour {
             name,
             domain: &self.domain,
             same_domain: true,
-            store: *word,
+            store: *status,
         })
         .collect()
     }
@@ -77,7 +77,7 @@
     (relay, now)
 }
 
-fn errand(
+fn query(
     relay: &mut Relay,
     topic: Topic,
     own: &LocalStatus<'_>,
@@ -92,19 +92,19 @@
     let (mut relay, now) = settled(&own("h5"), &Heard::telling(&[]));
     assert_eq!(relay.role(), Role::Watcher);
     for topic in [Topic::Config, Topic::Servers, Topic::Hosts] {
-        let errand = errand(&mut relay, topic, &own("h5"), &Heard::telling(&[]), now);
-        assert_eq!(errand, Some(StoreQuery::Watch));
+        let query = query(&mut relay, topic, &own("h5"), &Heard::telling(&[]), now);
+        assert_eq!(query, Some(StoreQuery::Watch));
     }
 }
 
 #[test]
 fn two_watchers_are_enough() {
-    let heard = Heard::telling(&[word(true), word(true)]);
+    let heard = Heard::telling(&[status(true), status(true)]);
     let (mut relay, now) = settled(&own("h5"), &heard);
     assert_eq!(relay.role(), Role::Follower);
     for topic in [Topic::Config, Topic::Servers, Topic::Hosts] {
         assert_eq!(
-            errand(&mut relay, topic, &own("h5"), &heard, now),
+            query(&mut relay, topic, &own("h5"), &heard, now),
             None,
             "{topic:?}"
         );
@@ -113,7 +113,7 @@
 
 #[test]
 fn hosts_of_other_domains_dont_count_as_watchers() {
-    let heard = Heard::telling(&[word(true), word(true)]);
+    let heard = Heard::telling(&[status(true), status(true)]);
     let mut list = heard.list();
     list.iter_mut().for_each(|host| host.same_domain = false);
     let mut relay = Relay::default();
@@ -124,9 +124,9 @@
 
 #[test]
 fn a_lost_watcher_is_replaced_and_steps_back_in() {
-    let both = Heard::telling(&[word(true), word(true)]);
+    let both = Heard::telling(&[status(true), status(true)]);
     let (mut relay, now) = settled(&own("h2"), &both);
-    let one = Heard::telling(&[word(true)]);
+    let one = Heard::telling(&[status(true)]);
     assert_eq!(
         relay.decide_role(&own("h2"), &one.list(), now),
         Role::Watcher
@@ -140,8 +140,8 @@
 /// The tenth of a second after both watchers were lost in which a host with so many hosts before it steps in.
 fn steps_in(before: usize) -> Option<u32> {
     let name = format!("h{before}");
-    let calm = Heard::telling(&vec![word(true); before]);
-    let outage = Heard::telling(&vec![word(false); before]);
+    let calm = Heard::telling(&vec![status(true); before]);
+    let outage = Heard::telling(&vec![status(false); before]);
     let (mut relay, now) = settled(&own(&name), &calm);
     (0..200u32).find(|tenth| {
         let now = now + Duration::from_millis(100) * *tenth;
@@ -159,11 +159,11 @@
 fn a_newer_configuration_is_fetched_at_once() {
     let newer = StoreStatus {
         config: 9,
-        ..word(true)
+        ..status(true)
     };
-    let heard = Heard::telling(&[word(true), newer]);
+    let heard = Heard::telling(&[status(true), newer]);
     let (mut relay, now) = settled(&own("h5"), &heard);
-    let found = errand(&mut relay, Topic::Config, &own("h5"), &heard, now);
+    let found = query(&mut relay, Topic::Config, &own("h5"), &heard, now);
     assert!(
         matches!(found, Some(StoreQuery::Fetch(pause)) if pause < Duration::from_millis(100)),
         "{found:?}"
@@ -174,14 +174,14 @@
 fn servers_that_differ_for_long_are_fetched_now_and_then() {
     let other = StoreStatus {
         servers: 71,
-        ..word(true)
+        ..status(true)
     };
-    let heard = Heard::telling(&[word(true), other]);
+    let heard = Heard::telling(&[status(true), other]);
     let (mut relay, now) = settled(&own("h5"), &heard);
     let mut fetched = Vec::new();
     for tenth in 0..30u32 {
         let now = now + Duration::from_millis(100) * tenth;
-        if errand(&mut relay, Topic::Servers, &own("h5"), &heard, now).is_some() {
+        if query(&mut relay, Topic::Servers, &own("h5"), &heard, now).is_some() {
             fetched.push(tenth);
         }
     }
@@ -190,19 +190,19 @@
 
 #[test]
 fn a_host_whose_word_is_old_asks_the_store_itself() {
-    let heard = Heard::telling(&[word(true), word(true)]);
+    let heard = Heard::telling(&[status(true), status(true)]);
     let (mut relay, now) = settled(&own("h5"), &heard);
     let old = LocalStatus {
         age: Some(Duration::from_millis(3_700)),
         ..own("h5")
     };
-    let first = errand(&mut relay, Topic::Config, &old, &heard, now);
+    let first = query(&mut relay, Topic::Config, &old, &heard, now);
     assert!(matches!(first, Some(StoreQuery::Fetch(_))), "{first:?}");
     assert_eq!(
-        errand(&mut relay, Topic::Config, &old, &heard, now),
+        query(&mut relay, Topic::Config, &old, &heard, now),
         None,
         "not twice"
     );
     let later = now + Duration::from_millis(2_500);
-    assert!(errand(&mut relay, Topic::Config, &old, &heard, later).is_some());
+    assert!(query(&mut relay, Topic::Config, &old, &heard, later).is_some());
 }
--- a/crates/alderglade-serve/src/node/cold.rs
+++ b/crates/alderglade-serve/src/node/cold.rs
@@ -73,14 +73,14 @@
 
     /// Takes what peers tell of cold servers. The entry of one that isn't known yet will say it, too.
     pub fn apply_cold_reports(&self, cold: &[ColdReport]) {
-        for told in cold {
+        for report in cold {
             let news = {
                 let mut state = self.state.borrow_mut();
-                let known = state.directory.knows(told.server);
-                known && state.limits.apply_cold_report(told, clock::now())
+                let known = state.directory.knows(report.server);
+                known && state.limits.apply_cold_report(report, clock::now())
             };
             if news {
-                self.tell_cold(told.server, told.left());
+                self.tell_cold(report.server, report.left());
             }
         }
     }
--- a/crates/alderglade-serve/src/node/relay.rs
+++ b/crates/alderglade-serve/src/node/relay.rs
@@ -133,12 +133,12 @@
     }
 
     /// Answers a peer's question; a host without a configuration has no answer.
-    pub fn answer_confirmation(&self, ask: ConfirmationRequest) -> Option<Confirmation> {
+    pub fn answer_confirmation(&self, request: ConfirmationRequest) -> Option<Confirmation> {
         let now = clock::now();
         let state = self.state.borrow();
         state.config.as_ref()?;
         Some(Confirmation {
-            asked_us: ask.asked_us,
+            asked_us: request.asked_us,
             age: state.freshness.age(now),
             config: state.config_version(),
             servers: state.directory.digest(),
@@ -160,17 +160,17 @@
     }
 
     /// Takes what a peer tells of the store in a notice.
-    pub fn apply_store_status(&self, word: &StoreStatus) {
-        if !word.in_contact {
+    pub fn apply_store_status(&self, status: &StoreStatus) {
+        if !status.in_contact {
             return;
         }
-        self.observe_era(word.era);
+        self.observe_era(status.era);
         let state = &mut *self.state.borrow_mut();
         // A watcher knows by itself; taken from each other, doubts would last for ever.
         if !state.watches_store() {
-            state.take_grace(word.grace_ms);
+            state.take_grace(status.grace_ms);
         }
-        if word.config > state.config_version() {
+        if status.config > state.config_version() {
             self.store_status_changed.notify_waiters();
         }
     }
--- a/crates/alderglade-serve/src/node/statement.rs
+++ b/crates/alderglade-serve/src/node/statement.rs
@@ -60,10 +60,10 @@
     /// Takes what peers tell of servers' limits.
     pub fn apply_limit_reports(&self, limits: &[LimitReport]) {
         let now = clock::now();
-        for told in limits {
-            let news = self.state.borrow_mut().limits.apply_report(told, now);
+        for report in limits {
+            let news = self.state.borrow_mut().limits.apply_report(report, now);
             if news {
-                self.note_limit(told.server);
+                self.note_limit(report.server);
             }
         }
     }
--- a/crates/alderglade-serve/src/peer/hear.rs
+++ b/crates/alderglade-serve/src/peer/hear.rs
@@ -39,7 +39,7 @@
         Message::Notice(notice) => take_notice(node, &notice, sender),
         Message::NoticeToForward(notice) => pass_on(node, socket, notice, sender).await,
         Message::ForwardedNotice(passed) => take_notice(node, &passed.notice, passed.origin),
-        Message::ConfirmationRequest(ask) => answer(node, socket, ask, sender).await,
+        Message::ConfirmationRequest(request) => answer(node, socket, request, sender).await,
         Message::Confirmation(confirmation) => node.take_confirmation(&confirmation, sender),
         Message::StoreUpdate(update) => node.apply_store_update(&update),
         Message::StoreUpdateToForward(update) => relay(node, socket, update).await,
@@ -118,8 +118,8 @@
 }
 
 /// Tells a peer the age of this host's word of the store, if it has one.
-async fn answer(node: &Node, socket: &UdpSocket, ask: ConfirmationRequest, sender: SocketAddr) {
-    if let Some(confirmation) = node.answer_confirmation(ask) {
+async fn answer(node: &Node, socket: &UdpSocket, request: ConfirmationRequest, sender: SocketAddr) {
+    if let Some(confirmation) = node.answer_confirmation(request) {
         let message = Message::Confirmation(confirmation);
         tell::send(socket, &message, &[sender]).await;
     }
--- a/crates/alderglade-serve/src/peer/tell.rs
+++ b/crates/alderglade-serve/src/peer/tell.rs
@@ -128,7 +128,7 @@
     /// Makes the next notice.
     fn notice(&self, holdings: Vec<Holding>, whole: bool) -> Notice {
         self.sequence.set(self.sequence.get() + 1);
-        let word = self.node.store_status();
+        let status = self.node.store_status();
         let interval = self.node.heartbeat();
         let state = &mut *self.node.state.borrow_mut();
         Notice {
@@ -140,7 +140,7 @@
             full: whole,
             multi_engine_prompts: state.loads.own_multi_engine_prompts(),
             waiting: state.loads.waiting(clock::now()),
-            store: word,
+            store: status,
             leaving: self.node.shared_leavers(state),
             ejections: state.health.ejections_to_report(clock::now()),
             unanswered: state.health.unanswered_to_report(clock::now()),
--- a/crates/alderglade-serve/src/unary.rs
+++ b/crates/alderglade-serve/src/unary.rs
@@ -163,7 +163,7 @@
         sends += 1;
         let more = sends < job.route.max_attempts;
         match one_try(node, job, choice, life, &tried, sends).await {
-            Try::Whole(response) if more && worth_repeating(job, &response) => {
+            Try::Whole(response) if more && worth_retrying(job, &response) => {
                 life = Life::new().send().lost();
                 *failed = Some(response);
             }
@@ -356,7 +356,7 @@
 }
 
 /// Says whether a server's failure may be tried again elsewhere.
-fn worth_repeating(job: &Job, response: &Response<Taken>) -> bool {
+fn worth_retrying(job: &Job, response: &Response<Taken>) -> bool {
     job.route.kind.is_repeatable() && response.status().is_server_error()
 }
 
