--- /dev/null
+++ b/crates/alderglade-serve/tests/testsuite/event_lines.rs
@@ -0,0 +1,213 @@
+//! The log lines, letter for letter. Operators' tools and the soak read them by number, name and key: a key that follows
+//! a renamed field, or a number that moves to another kind, would be misread without any error.
+
+use alderglade_core::Name;
+use alderglade_core::fleet::fingerprint::Fingerprint;
+use alderglade_serve::daemon::Addresses;
+use alderglade_serve::event::{self, ALL, Record};
+use log::{LevelFilter, Log, Metadata};
+use std::cell::RefCell;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+thread_local! {
+    /// What the thread has logged.
+    static WRITTEN: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
+}
+
+/// Keeps each line for the thread that logs it: tests run side by side.
+struct Kept;
+
+impl Log for Kept {
+    fn enabled(&self, _: &Metadata<'_>) -> bool {
+        true
+    }
+
+    fn log(&self, record: &log::Record<'_>) {
+        WRITTEN.with_borrow_mut(|lines| lines.push(record.args().to_string()));
+    }
+
+    fn flush(&self) {}
+}
+
+/// Gives the line that is logged for a record, without its time.
+fn line(record: &Record<'_>) -> String {
+    event::write(record);
+    let line = WRITTEN.with_borrow_mut(Vec::pop).expect("a line");
+    let rest = line.strip_prefix("{\"at_ms\":").expect("its time");
+    let rest = rest.trim_start_matches(|digit: char| digit.is_ascii_digit());
+    rest.strip_prefix(',').expect("more than a time").into()
+}
+
+fn address(port: u16) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, 7], port))
+}
+
+fn asked(first: u8) -> Fingerprint {
+    format!("{first:02x}112233445566778899aabb")
+        .parse()
+        .expect("a digest")
+}
+
+/// The lines of [`records`] with all that may be missing, then those that differ without it.
+const LINES: &str = r#"
+"n":3001,"level":"INFO","event":"started","host":"host-1","domain":"domain-1","callers":"10.0.0.7:8002","ready":"10.0.0.7:8003","peers":"10.0.0.7:8004","metrics":"10.0.0.7:8005"}
+"n":3002,"level":"INFO","event":"stopping","in_flight":21}
+"n":3003,"level":"INFO","event":"stopped","cut_off":31,"untold":32,"taken_stopping":33,"connections":34,"stopping_ms":35}
+"n":3004,"level":"INFO","event":"reloaded","outcome":"outcome-4"}
+"n":3006,"level":"WARN","event":"suspended","span_ms":51}
+"n":3101,"level":"INFO","event":"config_in_force","version":61,"before":62}
+"n":3102,"level":"WARN","event":"config_unreadable","problem":"problem-7"}
+"n":3103,"level":"INFO","event":"servers_changed","known":81,"leaving":82}
+"n":3104,"level":"INFO","event":"server_refusing","server":"server-9","by":"by-9"}
+"n":3105,"level":"WARN","event":"server_slow","server":"server-10","slowdown":2.25}
+"n":3106,"level":"INFO","event":"server_restarted","server":"server-11","born_ms":112,"former_born_ms":113}
+"n":3109,"level":"INFO","event":"server_leaves","server":"server-12"}
+"n":3110,"level":"INFO","event":"server_backoff","server":"server-13","for_ms":132}
+"n":3111,"level":"INFO","event":"server_limit","server":"server-14","per_second":2.5}
+"n":3112,"level":"INFO","event":"server_cold","server":"server-15","for_ms":152}
+"n":3113,"level":"INFO","event":"evacuated","domains":["north","south"]}
+"n":3114,"level":"INFO","event":"grouped","groups":171,"hosts":172,"servers":173}
+"n":3107,"level":"WARN","event":"entry_unreadable","of":"of-18","name":"name-18","problem":"problem-18"}
+"n":3108,"level":"INFO","event":"entry_mended","of":"of-19","name":"name-19"}
+"n":3201,"level":"WARN","event":"store_lost","problem":"problem-20"}
+"n":3202,"level":"INFO","event":"store_back","age_ms":211}
+"n":3203,"level":"INFO","event":"store_role","role":"role-22","heard":222,"watchers":223,"store_age_ms":224}
+"n":3204,"level":"INFO","event":"store_reach","cut_off":true,"refused":true,"informed":false,"isolated":false,"store_age_ms":235}
+"n":3205,"level":"WARN","event":"store_restored","era":241,"former_era":242}
+"n":3206,"level":"INFO","event":"servers_restored","era":251,"revision":252,"former_revision":253,"missing":254,"held_back":255}
+"n":3207,"level":"INFO","event":"entry_written_again","name":"name-26"}
+"n":3208,"level":"INFO","event":"config_copied","version":271,"from":"10.0.0.7:8001"}
+"n":3301,"level":"INFO","event":"peer_joined","peers":["h2","h3"],"count":282}
+"n":3302,"level":"WARN","event":"peer_lost","peers":["h2","h3"],"count":292}
+"n":3401,"level":"INFO","event":"placed","id":"id-30","asked":"1e112233445566778899aabb","server":"server-30","attempt":304,"prompt":305,"helpers":306,"shares":307,"waited_ms":308,"expected_ms":309,"config":3010,"stopping_ms":3011}
+"n":3402,"level":"WARN","event":"attempt_failed","id":"id-31","server":"server-31","attempt":313,"problem":"problem-31"}
+"n":3403,"level":"INFO","event":"answered","id":"id-32","status":322,"took_ms":323,"first_ms":324,"longest_pause_ms":325,"aim_ms":326,"pause_aim_ms":327}
+"n":3404,"level":"INFO","event":"refused","id":"id-33","kind":"kind-33","number":333,"ran":"ran-33","took_ms":335,"store_age_ms":336,"stopping_ms":337}
+"n":3405,"level":"WARN","event":"broken_off","id":"id-34","problem":"problem-34","took_ms":343,"stopping_ms":344}
+"n":3406,"level":"INFO","event":"caller_left","id":"id-35"}
+"n":3407,"level":"INFO","event":"held","id":"id-36","reason":"reason-36","prompt":363,"waited_ms":364,"giants":365,"pressure":6.25}
+"n":3408,"level":"WARN","event":"cut_off","id":"id-37","doing":"doing-37","server":"server-37","took_ms":374,"came_stopping_ms":375,"stopping_ms":376}
+"n":3409,"level":"INFO","event":"repeat_refused","id":"id-38","service":"service-38","asked":383}
+"n":3410,"level":"INFO","event":"server_broke_off","id":"id-39","asked":"27112233445566778899aabb","server":"server-39","ran_ms":394,"ended":true}
+"n":3411,"level":"WARN","event":"quarantined","asked":"28112233445566778899aabb","servers":402,"first_hand":true}
+"n":3412,"level":"INFO","event":"quarantine_released","asked":"29112233445566778899aabb"}
+"n":3413,"level":"WARN","event":"quarantine_not_kept","asked":"2a112233445566778899aabb","problem":"problem-42"}
+"n":3501,"level":"INFO","event":"memory_refused","id":"id-43","server":"server-43","problem":"problem-43"}
+"n":3502,"level":"WARN","event":"memory_not_released","server":"server-44","problem":"problem-44"}
+"n":3303,"level":"WARN","event":"peer_fault","problem":"problem-45"}
+"n":3304,"level":"WARN","event":"listen_fault","problem":"problem-46"}
+"n":3005,"level":"WARN","event":"lines_dropped","count":471}
+"n":3001,"level":"INFO","event":"started","host":"host-1","domain":"domain-1","callers":"10.0.0.7:8002","ready":"10.0.0.7:8003","peers":"10.0.0.7:8004","metrics":null}
+"n":3003,"level":"INFO","event":"stopped","cut_off":31,"untold":32,"taken_stopping":33,"connections":34}
+"n":3101,"level":"INFO","event":"config_in_force","version":61,"before":null}
+"n":3106,"level":"INFO","event":"server_restarted","server":"server-11","born_ms":null,"former_born_ms":null}
+"n":3111,"level":"INFO","event":"server_limit","server":"server-14","per_second":null}
+"n":3203,"level":"INFO","event":"store_role","role":"role-22","heard":222,"watchers":223,"store_age_ms":null}
+"n":3204,"level":"INFO","event":"store_reach","cut_off":true,"refused":false,"informed":true,"isolated":false,"store_age_ms":null}
+"n":3401,"level":"INFO","event":"placed","id":"id-30","asked":"1e112233445566778899aabb","server":"server-30","attempt":304,"prompt":305,"helpers":306,"shares":307,"waited_ms":308,"expected_ms":309,"config":3010}
+"n":3403,"level":"INFO","event":"answered","id":"id-32","status":322,"took_ms":323,"first_ms":324,"longest_pause_ms":325,"aim_ms":326,"pause_aim_ms":null}
+"n":3404,"level":"INFO","event":"refused","id":"id-33","kind":"kind-33","number":333,"ran":"ran-33","took_ms":335,"store_age_ms":null}
+"n":3405,"level":"WARN","event":"broken_off","id":"id-34","problem":"problem-34","took_ms":343}
+"n":3408,"level":"WARN","event":"cut_off","id":"id-37","doing":"doing-37","took_ms":374}
+"n":3410,"level":"INFO","event":"server_broke_off","id":"id-39","asked":"27112233445566778899aabb","server":"server-39","ran_ms":null,"ended":false}
+"n":3411,"level":"WARN","event":"quarantined","asked":"28112233445566778899aabb","servers":402,"first_hand":false}
+"#;
+
+#[test]
+fn each_record_is_written_as_it_was() {
+    log::set_logger(&Kept).expect("no other logger");
+    log::set_max_level(LevelFilter::Info);
+    let peers: Vec<Name> = vec!["h2".into(), "h3".into()];
+    let domains: BTreeSet<Name> = ["north".into(), "south".into()].into();
+    let records = |given| records(&peers, &domains, given);
+    let mut written: Vec<String> = records(true).iter().map(line).collect();
+    let mut without: Vec<String> = records(false).iter().map(line).collect();
+    without.retain(|line| !written.contains(line));
+    written.append(&mut without);
+    let recorded: Vec<&str> = LINES.trim().lines().collect();
+    for (written, recorded) in written.iter().zip(&recorded) {
+        assert_eq!(written, recorded);
+    }
+    assert_eq!(written.len(), recorded.len());
+    let kinds: BTreeSet<u16> = records(true)
+        .iter()
+        .map(|record| record.kind().number)
+        .collect();
+    let all: BTreeSet<u16> = ALL.iter().map(|kind| kind.number).collect();
+    assert_eq!(kinds, all, "a kind has no record here");
+}
+
+/// Gives a record of each kind, with or without what may be missing. No two fields of a record have the same value; flags
+/// differ in one of the two cases.
+#[rustfmt::skip] // One record a line.
+fn records<'a>(peers: &'a [Name], domains: &'a BTreeSet<Name>, given: bool) -> Vec<Record<'a>> {
+    let addresses = Addresses {
+        callers: address(8_002),
+        ready: address(8_003),
+        peers: address(8_004),
+        metrics: given.then(|| address(8_005)),
+    };
+    vec![
+        Record::Started { host: "host-1", domain: "domain-1", addresses },
+        Record::Stopping { in_flight: 21 },
+        Record::Stopped { cut_off: 31, untold: 32, taken_stopping: 33, connections: 34, stopping_ms:
+            given.then_some(35) },
+        Record::Reloaded { outcome: "outcome-4" },
+        Record::Suspended { span_ms: 51 },
+        Record::ConfigInForce { version: 61, before: given.then_some(62) },
+        Record::ConfigUnreadable { problem: "problem-7" },
+        Record::ServersChanged { known: 81, leaving: 82 },
+        Record::ServerRefusing { server: "server-9", by: "by-9" },
+        Record::ServerSlow { server: "server-10", slowdown: 2.25 },
+        Record::ServerRestarted { server: "server-11", born_ms: given.then_some(112), former_born_ms:
+            given.then_some(113) },
+        Record::ServerLeaves { server: "server-12" },
+        Record::ServerBackoff { server: "server-13", for_ms: 132 },
+        Record::ServerLimit { server: "server-14", per_second: given.then_some(2.5) },
+        Record::ServerCold { server: "server-15", for_ms: 152 },
+        Record::Evacuated { domains },
+        Record::Grouped { groups: 171, hosts: 172, servers: 173 },
+        Record::EntryUnreadable { of: "of-18", name: "name-18", problem: "problem-18" },
+        Record::EntryMended { of: "of-19", name: "name-19" },
+        Record::StoreLost { problem: "problem-20" },
+        Record::StoreBack { age_ms: 211 },
+        Record::StoreRole { role: "role-22", heard: 222, watchers: 223, store_age_ms: given.then_some(224)
+            },
+        Record::StoreReach { cut_off: true, refused: given, informed: !given, isolated: false, store_age_ms:
+            given.then_some(235) },
+        Record::StoreRestored { era: 241, former_era: 242 },
+        Record::ServersRestored { era: 251, revision: 252, former_revision: 253, missing: 254, held_back:
+            255 },
+        Record::WrittenAgain { name: "name-26" },
+        Record::ConfigCopied { version: 271, from: address(8_001) },
+        Record::PeerJoined { peers, count: 282 },
+        Record::PeerLost { peers, count: 292 },
+        Record::Placed { id: "id-30", asked: asked(30), server: "server-30", attempt: 304, prompt: 305,
+            helpers: 306, shares: 307, waited_ms: 308, expected_ms: 309, config: 3010, stopping_ms:
+            given.then_some(3011) },
+        Record::AttemptFailed { id: "id-31", server: "server-31", attempt: 313, problem: "problem-31" },
+        Record::Answered { id: "id-32", status: 322, took_ms: 323, first_ms: 324, longest_pause_ms: 325,
+            aim_ms: 326, pause_aim_ms: given.then_some(327) },
+        Record::Refused { id: "id-33", kind: "kind-33", number: 333, ran: "ran-33", took_ms: 335,
+            store_age_ms: given.then_some(336), stopping_ms: given.then_some(337) },
+        Record::BrokenOff { id: "id-34", problem: "problem-34", took_ms: 343, stopping_ms:
+            given.then_some(344) },
+        Record::CallerLeft { id: "id-35" },
+        Record::Held { id: "id-36", reason: "reason-36", prompt: 363, waited_ms: 364, giants: 365, pressure:
+            6.25 },
+        Record::CutOff { id: "id-37", doing: "doing-37", server: given.then_some("server-37"), took_ms: 374,
+            came_stopping_ms: given.then_some(375), stopping_ms: given.then_some(376) },
+        Record::RepeatRefused { id: "id-38", service: "service-38", asked: 383 },
+        Record::ServerBrokeOff { id: "id-39", asked: asked(39), server: "server-39", ran_ms:
+            given.then_some(394), ended: given },
+        Record::Quarantined { asked: asked(40), servers: 402, first_hand: given },
+        Record::QuarantineReleased { asked: asked(41) },
+        Record::QuarantineNotKept { asked: asked(42), problem: "problem-42" },
+        Record::MemoryRefused { id: "id-43", server: "server-43", problem: "problem-43" },
+        Record::MemoryNotReleased { server: "server-44", problem: "problem-44" },
+        Record::PeerFault { problem: "problem-45" },
+        Record::ListenFault { problem: "problem-46" },
+        Record::LinesDropped { count: 471 },
+    ]
+}
--- /dev/null
+++ b/crates/alderglade-serve/tests/testsuite/hashes.rs
@@ -0,0 +1,110 @@
+//! What follows from hashes of names. Hosts of two versions run side by side: if they computed other groups, owners or
+//! digests, they would tell the wrong hosts, ask the wrong owner, or take equal lists of servers for different ones.
+
+use crate::wire_bytes::hex;
+use alderglade_core::Name;
+use alderglade_core::fleet::directory::{Change, Directory, Server};
+use alderglade_core::fleet::fingerprint::Content;
+use alderglade_core::fleet::group::{Division, Group, Groups};
+use alderglade_core::fleet::incarnation::Incarnation;
+use alderglade_core::fleet::rate_limit;
+use alderglade_core::time::Time;
+use std::net::SocketAddr;
+
+const HOSTS: [&str; 6] = ["h1", "h2", "north-1", "south-1", "south-2", ""];
+const SERVERS: [&str; 7] = [
+    "w1", "w2", "w3", "engine-a", "engine-b", "engine-c", "engine-d",
+];
+
+fn server(id: &str, born: Option<u64>) -> Server {
+    Server {
+        incarnation: Incarnation::new(id, born),
+        service: "calls".into(),
+        address: SocketAddr::from(([10, 0, 0, 1], 9_000)),
+        domain: "north".into(),
+        slots: 6,
+        leaving: false,
+        cold_ms: 0,
+    }
+}
+
+fn servers() -> Vec<Server> {
+    let born = [None, Some(1_796_000_000_000)].into_iter().cycle();
+    let servers = SERVERS.iter().zip(born);
+    servers.map(|(id, born)| server(id, born)).collect()
+}
+
+/// Gives a group's number, which only its debug text shows.
+fn number(group: Group) -> u32 {
+    let text = format!("{group:?}");
+    let digits = text.trim_matches(|c: char| !c.is_ascii_digit());
+    digits.parse().expect("a number")
+}
+
+#[test]
+fn keys_of_servers_stay() {
+    let keys: Vec<String> = servers().iter().map(|server| hex(&server.key())).collect();
+    let recorded = "9a60a2362947 500c667dca38 e9900ae0b48e f855be78e2cc f98447f22782 f8fd27966851 9a04622027bc";
+    assert_eq!(keys.join(" "), recorded);
+}
+
+#[test]
+fn groups_of_hosts_and_turns_of_domains_stay() {
+    let division = Division::of_hosts(64 * 16);
+    assert_eq!(division.groups(), 16);
+    let groups = HOSTS.map(|host| number(division.of_host(host)));
+    assert_eq!(groups, [0, 3, 5, 11, 4, 2]);
+    let turns = HOSTS.map(|host| division.turn("north", host));
+    assert_eq!(turns, [10, 13, 15, 5, 14, 12]);
+}
+
+#[test]
+fn groups_of_servers_stay() {
+    let servers = servers();
+    let mut groups = Groups::default();
+    groups.divide(Division::of_hosts(64 * 4));
+    groups.deal(servers.iter());
+    let dealt = servers
+        .iter()
+        .map(|server| number(groups.of_server(server.key())));
+    assert_eq!(dealt.collect::<Vec<_>>(), [1, 3, 2, 1, 2, 0, 0]);
+}
+
+#[test]
+fn the_digest_of_a_directory_stays() {
+    let mut directory = Directory::default();
+    assert_eq!(directory.digest(), 0);
+    for server in servers() {
+        directory.apply(Change::Known(server), Time(0));
+    }
+    assert_eq!(directory.digest(), 1_505_062_366_364_264);
+}
+
+#[test]
+fn the_digests_of_requests_stay() {
+    let asked = Content {
+        workspace: Some("clinic"),
+        method: "POST",
+        host: "one.example",
+        target: "/stream/x?a=1",
+        body: b"a prompt",
+    };
+    assert_eq!(asked.fingerprint().to_string(), "555817ee2dac8cd2fc61c52e");
+    let open = Content {
+        workspace: None,
+        ..asked
+    };
+    assert_eq!(open.fingerprint().to_string(), "2d0680052dac8cd2fc61c52e");
+}
+
+#[test]
+fn owners_of_limits_stay() {
+    let hosts = HOSTS.map(Name::from);
+    let servers = servers();
+    let owners = servers
+        .iter()
+        .map(|server| rate_limit::owner(server.key(), hosts.iter()));
+    let owners: Vec<&str> = owners.map(|owner| &**owner.expect("an owner")).collect();
+    let recorded = "h2 south-1 h1  south-2  south-1";
+    assert_eq!(owners.join(" "), recorded);
+}
--- /dev/null
+++ b/crates/alderglade-serve/tests/testsuite/wire_bytes.rs
@@ -0,0 +1,394 @@
+//! The bytes that hosts send each other. Fields and variants are told apart by position only: hosts of two versions run side by
+//! side, and one would misread the other without any error if two fields or variants changed places.
+
+use alderglade_core::fleet::book::{Demand, Holding, Load, Notice};
+use alderglade_core::fleet::config::{
+    Config, Kind, Limits, Patch, Route, Service, Target, Workspace,
+};
+use alderglade_core::fleet::directory::{Change, Server};
+use alderglade_core::fleet::evacuation;
+use alderglade_core::fleet::faults::Fault;
+use alderglade_core::fleet::health::PassedOver;
+use alderglade_core::fleet::incarnation::{Incarnation, Key};
+use alderglade_core::fleet::loan::{self, Loan};
+use alderglade_core::fleet::message::{
+    Ask, Confirmation, Host, Learnt, Message, PassedOn, Piece, Servers,
+};
+use alderglade_core::fleet::pass::Figures;
+use alderglade_core::fleet::position::Position;
+use alderglade_core::fleet::quarantine::{Fact, Told};
+use alderglade_core::fleet::rate_limit::{self, Grant, cold};
+use alderglade_core::fleet::relay::Word;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use std::fmt::{Debug, Write};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Gives the bytes of a value as hex digits.
+pub fn hex(value: &impl Serialize) -> String {
+    let bytes = postcard::to_stdvec(value).expect("bytes");
+    bytes.iter().fold(String::new(), |mut text, byte| {
+        write!(text, "{byte:02x}").expect("a string takes all");
+        text
+    })
+}
+
+/// Checks that a value is sent as the recorded bytes, and read back from them.
+fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, recorded: &str) {
+    assert_eq!(hex(value), recorded, "{value:?}");
+    let digits = recorded
+        .as_bytes()
+        .chunks(2)
+        .map(|pair| str::from_utf8(pair).expect("digits"));
+    let bytes: Vec<u8> = digits
+        .map(|pair| u8::from_str_radix(pair, 16).expect("hex"))
+        .collect();
+    let read: T = postcard::from_bytes(&bytes).expect("a value");
+    assert_eq!(read, *value);
+}
+
+/// Gives a server's key; as a hash it is pinned elsewhere.
+fn key(first: u8) -> Key {
+    postcard::from_bytes(&[first, 0xa1, 0xa2, 0xa3, 0xa4, 0xa5]).expect("a key")
+}
+
+fn address(last: u8) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, last], 9_000 + u16::from(last)))
+}
+
+fn told(first: u8, fact: Fact) -> Told {
+    let asked = format!("{first:02x}112233445566778899aabb");
+    let asked = asked.parse().expect("a digest");
+    Told { asked, fact }
+}
+
+fn limit() -> rate_limit::Told {
+    rate_limit::Told {
+        server: key(0x31),
+        per_thousand_s: 32,
+        age_ms: 33,
+    }
+}
+
+fn cold_spell() -> cold::Told {
+    cold::Told {
+        server: key(0x34),
+        per_thousand_s: 35,
+        left_ms: 36,
+    }
+}
+
+fn notice() -> Notice {
+    Notice {
+        host: "host".into(),
+        domain: "domain".into(),
+        incarnation: Position::new(1, 2),
+        sequence: 3,
+        interval_ms: 4,
+        whole: true,
+        giants: 5,
+        waiting: vec![Demand {
+            due_ms: -6,
+            reading_ms: 7,
+        }],
+        word: Word {
+            in_contact: true,
+            config: 8,
+            servers: 9,
+            era: 10,
+            doubt_ms: 11,
+            hosts: 12,
+        },
+        leaving: vec![key(0x13)],
+        passed_over: vec![PassedOver {
+            server: key(0x14),
+            left_ms: 15,
+        }],
+        unanswered: vec![key(0x16)],
+        quarantine: vec![
+            told(
+                0x17,
+                Fact::Crash {
+                    server: key(0x18),
+                    begun: true,
+                    age_ms: 19,
+                },
+            ),
+            told(0x20, Fact::Sound { age_ms: 21 }),
+            told(0x22, Fact::Barred { left_s: 23 }),
+        ],
+        limits: vec![limit()],
+        cold: vec![cold_spell()],
+        evacuations: evacuation::Told {
+            at: Some(Position::new(37, 38)),
+            domains: vec!["evacuated".into()],
+            lost: vec![evacuation::Lost {
+                domain: "lost".into(),
+                left_ms: 39,
+            }],
+        },
+        holdings: vec![Holding {
+            server: key(0x40),
+            load: Load {
+                placed: 41,
+                memory: 42,
+                running: -43,
+                at_risk: [44, 45, 46],
+            },
+            added: 47,
+        }],
+    }
+}
+
+fn servers() -> Learnt {
+    let known = Server {
+        incarnation: Incarnation::new("id", Some(1_796_000_000_000)),
+        service: "service".into(),
+        address: address(1),
+        domain: "domain".into(),
+        slots: 2,
+        leaving: true,
+        cold_ms: 3,
+    };
+    let fault = Fault {
+        name: "name".into(),
+        problem: "problem".into(),
+    };
+    Learnt::Servers(Servers {
+        after: Position::new(4, 5),
+        position: Position::new(6, 7),
+        doubt_ms: 8,
+        piece: Piece { number: 9, of: 10 },
+        changes: vec![
+            Change::Known(known),
+            Change::Unreadable(fault),
+            Change::Gone("gone".into()),
+        ],
+    })
+}
+
+fn route(name: &str, kind: Kind, first: u32) -> Route {
+    Route {
+        name: name.into(),
+        host: "one.example".into(),
+        path_prefix: format!("/{name}/").into(),
+        kind,
+        time_limit: Duration::new(u64::from(first), 1),
+        aim: Duration::new(u64::from(first), 2),
+        priority: first + 1,
+        max_attempts: first + 2,
+        public: true,
+        targets: vec![Target {
+            service: "target".into(),
+            weight: 0.25,
+        }],
+        regions: ["region".into()].into(),
+    }
+}
+
+fn service(name: &str) -> Service {
+    Service {
+        name: name.into(),
+        engine: Some(Figures {
+            slots: 1,
+            memory_tokens: 2,
+            step: 3.5,
+            step_per_request: 4.5,
+            step_per_thousand: 5.5,
+            read_per_ms: 6.5,
+            pairs_per_million: 7.5,
+            chunk: 8,
+            stride: 9,
+        }),
+        max_connections: 10,
+        cold_start: Duration::new(11, 12),
+        cold_per_second: 13.5,
+    }
+}
+
+/// Gives a configuration. Its maps have one entry each, because their order is random.
+fn config(version: u64, kinds: &[(&str, Kind)]) -> Config {
+    let limits = Limits {
+        header_bytes: 21,
+        body_bytes: 22,
+        idle: Duration::new(23, 24),
+    };
+    let workspace = Workspace {
+        name: format!("workspace-{version}").into(),
+        keys: vec![format!("key-{version}").into()],
+        priority: 25,
+        regions: ["home".into()].into(),
+    };
+    let routes = kinds
+        .iter()
+        .zip(30..)
+        .map(|((name, kind), first)| route(name, *kind, first));
+    let services = vec![service(&format!("service-{version}"))];
+    Config::new(
+        version,
+        limits,
+        routes.collect(),
+        services,
+        Some(vec![workspace]),
+    )
+}
+
+const STREAM: Kind = Kind::Stream {
+    resumable: true,
+    longest_pause: Duration::new(14, 15),
+};
+
+/// The bytes of [`notice`].
+const NOTICE: &str = "\
+    04686f737406646f6d61696e010203040105010b070108090a0b0c0113a1a2a3a4a50114a1a2a3a4a50f\
+    0116a1a2a3a4a50317112233445566778899aabb0018a1a2a3a4a5011320112233445566778899aabb01\
+    1522112233445566778899aabb02170131a1a2a3a4a520210134a1a2a3a4a52324012526010965766163\
+    756174656401046c6f7374270140a1a2a3a4a5295455585a5c2f";
+/// The bytes of [`servers`], without the variant.
+const SERVERS: &str = "\
+    0405060708090a03000269640180d0c4cfa2340773657276696365000a000001a94606646f6d61696e02\
+    010301046e616d650770726f626c656d0204676f6e65";
+
+#[test]
+fn notices() {
+    check(&Message::Notice(notice()), &format!("00{NOTICE}"));
+    check(&Message::Spread(notice()), &format!("01{NOTICE}"));
+    let passed = PassedOn {
+        origin: address(48),
+        notice: notice(),
+    };
+    check(
+        &Message::PassedOn(passed),
+        &format!("02000a000030d846{NOTICE}"),
+    );
+}
+
+#[test]
+fn questions_on_the_store() {
+    check(&Message::Ask(Ask { asked_us: 1_001 }), "03e907");
+    let confirmation = Confirmation {
+        asked_us: 1,
+        age: Some(Duration::new(2, 3)),
+        config: 4,
+        servers: 5,
+        position: Position::new(6, 7),
+    };
+    check(&Message::Confirmation(confirmation), "040101020304050607");
+    let unknown = Confirmation {
+        age: None,
+        ..confirmation
+    };
+    check(&Message::Confirmation(unknown), "04010004050607");
+}
+
+#[test]
+fn changes_of_servers() {
+    check(&Message::Learnt(servers()), &format!("0500{SERVERS}"));
+    check(&Message::Relay(servers()), &format!("0600{SERVERS}"));
+}
+
+#[test]
+fn a_newer_configuration() {
+    let old = config(51, &[("old", Kind::Idempotent)]);
+    let new = config(52, &[("new", STREAM)]);
+    let patch = Patch::between(&old, &new).expect("a patch");
+    assert_eq!(old.patched(&patch).as_ref(), Some(&new));
+    check(
+        &Message::Learnt(Learnt::Config(patch)),
+        "\
+        0501333415161718010b6f6e652e6578616d706c65052f6f6c642f036f6c6401036e65770b6f6e652e65\
+        78616d706c65052f6e65772f02010e0f1e011e021f20010106746172676574000000000000d03f010672\
+        6567696f6e010a736572766963652d3531010a736572766963652d35320101020000000000000c400000\
+        00000000124000000000000016400000000000001a400000000000001e4008090a0b0c0000000000002b\
+        4001066b65792d353101066b65792d35320c776f726b73706163652d3532010c776f726b73706163652d\
+        35320104686f6d65",
+    );
+}
+
+#[test]
+fn hosts() {
+    let known = Host {
+        name: "name".into(),
+        address: address(1),
+        domain: Some("domain".into()),
+    };
+    let address = "[fd00::2]:9002".parse().expect("an address");
+    let unknown = Host {
+        name: "other".into(),
+        address,
+        domain: None,
+    };
+    check(
+        &Message::Learnt(Learnt::Hosts(vec![known, unknown])),
+        "\
+        050202046e616d65000a000001a9460106646f6d61696e056f7468657201fd0000000000000000000000\
+        00000002aa4600",
+    );
+}
+
+#[test]
+fn loans() {
+    let request = loan::Request {
+        number: 1,
+        service: "service".into(),
+        missing: 2,
+    };
+    check(&Message::Borrow(request), "0701077365727669636502");
+    check(&Message::Loan(Loan { number: 3, part: 4 }), "080304");
+}
+
+#[test]
+fn grants() {
+    let request = rate_limit::Request {
+        number: 1,
+        host: "host".into(),
+        server: key(0x02),
+        told: Some(limit()),
+        cold: Some(cold_spell()),
+    };
+    check(
+        &Message::Claim(request.clone()),
+        "\
+        090104686f737402a1a2a3a4a50131a1a2a3a4a520210134a1a2a3a4a52324",
+    );
+    let only_cold = rate_limit::Request {
+        told: None,
+        ..request
+    };
+    check(
+        &Message::Claim(only_cold),
+        "090104686f737402a1a2a3a4a5000134a1a2a3a4a52324",
+    );
+    check(
+        &Message::Grant(Grant {
+            number: 3,
+            wait_ms: 4,
+        }),
+        "0a0304",
+    );
+}
+
+/// As one host hands it to another over HTTP.
+#[test]
+fn a_whole_configuration() {
+    let kinds = [
+        ("again", Kind::Idempotent),
+        ("once", Kind::NonIdempotent),
+        ("stream", STREAM),
+    ];
+    check(
+        &config(53, &kinds),
+        "\
+        3515161718010b6f6e652e6578616d706c65030673747265616d0b6f6e652e6578616d706c65082f7374\
+        7265616d2f02010e0f200120022122010106746172676574000000000000d03f0106726567696f6e0561\
+        6761696e0b6f6e652e6578616d706c65072f616761696e2f001e011e021f200101067461726765740000\
+        00000000d03f0106726567696f6e046f6e63650b6f6e652e6578616d706c65062f6f6e63652f011f011f\
+        022021010106746172676574000000000000d03f0106726567696f6e010a736572766963652d35330a73\
+        6572766963652d35330101020000000000000c4000000000000012400000000000001640000000000000\
+        1a400000000000001e4008090a0b0c0000000000002b400101066b65792d35330c776f726b7370616365\
+        2d3533010c776f726b73706163652d35330104686f6d65",
+    );
+    let open = Config::new(54, Limits::default(), Vec::new(), Vec::new(), None);
+    check(&open, "36808001808080020f0000000000");
+}
