--- a/crates/alderglade-serve/tests/testsuite/hashes.rs
+++ b/crates/alderglade-serve/tests/testsuite/hashes.rs
@@ -54,7 +54,7 @@
     assert_eq!(division.groups(), 16);
     let groups = HOSTS.map(|host| number(division.of_host(host)));
     assert_eq!(groups, [0, 3, 5, 11, 4, 2]);
-    let turns = HOSTS.map(|host| division.turn("north", host));
+    let turns = HOSTS.map(|host| division.precedence("north", host));
     assert_eq!(turns, [10, 13, 15, 5, 14, 12]);
 }
 
@@ -62,8 +62,8 @@
 fn groups_of_servers_stay() {
     let servers = servers();
     let mut groups = Groups::default();
-    groups.divide(Division::of_hosts(64 * 4));
-    groups.deal(servers.iter());
+    groups.set_division(Division::of_hosts(64 * 4));
+    groups.assign(servers.iter());
     let dealt = servers
         .iter()
         .map(|server| number(groups.of_server(server.key())));
--- a/crates/alderglade-serve/tests/testsuite/wire_bytes.rs
+++ b/crates/alderglade-serve/tests/testsuite/wire_bytes.rs
@@ -1,24 +1,25 @@
 //! The bytes that hosts send each other. Fields and variants are told apart by position only: hosts of two versions run side by
 //! side, and one would misread the other without any error if two fields or variants changed places.
 
-use alderglade_core::fleet::book::{Demand, Holding, Load, Notice};
 use alderglade_core::fleet::config::{
     Config, Kind, Limits, Patch, Route, Service, Target, Workspace,
 };
 use alderglade_core::fleet::directory::{Change, Server};
 use alderglade_core::fleet::evacuation;
 use alderglade_core::fleet::faults::Fault;
-use alderglade_core::fleet::health::PassedOver;
+use alderglade_core::fleet::health::Ejection;
 use alderglade_core::fleet::incarnation::{Incarnation, Key};
+use alderglade_core::fleet::load_table::{Demand, Holding, Load, Notice};
 use alderglade_core::fleet::loan::{self, Loan};
 use alderglade_core::fleet::message::{
-    Ask, Confirmation, Host, Learnt, Message, PassedOn, Piece, Servers,
+    Confirmation, ConfirmationRequest, ForwardedNotice, Fragment, Host, Message, Servers,
+    StoreUpdate,
 };
-use alderglade_core::fleet::pass::Figures;
+use alderglade_core::fleet::pass::EngineProfile;
 use alderglade_core::fleet::position::Position;
-use alderglade_core::fleet::quarantine::{Fact, Told};
+use alderglade_core::fleet::quarantine::{Fact, Finding};
 use alderglade_core::fleet::rate_limit::{self, Grant, cold};
-use alderglade_core::fleet::relay::Word;
+use alderglade_core::fleet::relay::StoreStatus;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt::{Debug, Write};
@@ -57,22 +58,22 @@
     SocketAddr::from(([10, 0, 0, last], 9_000 + u16::from(last)))
 }
 
-fn told(first: u8, fact: Fact) -> Told {
-    let asked = format!("{first:02x}112233445566778899aabb");
-    let asked = asked.parse().expect("a digest");
-    Told { asked, fact }
+fn told(first: u8, fact: Fact) -> Finding {
+    let fingerprint = format!("{first:02x}112233445566778899aabb");
+    let fingerprint = fingerprint.parse().expect("a digest");
+    Finding { fingerprint, fact }
 }
 
-fn limit() -> rate_limit::Told {
-    rate_limit::Told {
+fn limit() -> rate_limit::LimitReport {
+    rate_limit::LimitReport {
         server: key(0x31),
         per_thousand_s: 32,
         age_ms: 33,
     }
 }
 
-fn cold_spell() -> cold::Told {
-    cold::Told {
+fn cold_spell() -> cold::ColdReport {
+    cold::ColdReport {
         server: key(0x34),
         per_thousand_s: 35,
         left_ms: 36,
@@ -86,22 +87,22 @@
         incarnation: Position::new(1, 2),
         sequence: 3,
         interval_ms: 4,
-        whole: true,
-        giants: 5,
+        full: true,
+        multi_engine_prompts: 5,
         waiting: vec![Demand {
             due_ms: -6,
             reading_ms: 7,
         }],
-        word: Word {
+        store: StoreStatus {
             in_contact: true,
             config: 8,
             servers: 9,
             era: 10,
-            doubt_ms: 11,
+            grace_ms: 11,
             hosts: 12,
         },
         leaving: vec![key(0x13)],
-        passed_over: vec![PassedOver {
+        ejections: vec![Ejection {
             server: key(0x14),
             left_ms: 15,
         }],
@@ -120,10 +121,10 @@
         ],
         limits: vec![limit()],
         cold: vec![cold_spell()],
-        evacuations: evacuation::Told {
+        evacuations: evacuation::Snapshot {
             at: Some(Position::new(37, 38)),
             domains: vec!["evacuated".into()],
-            lost: vec![evacuation::Lost {
+            lost: vec![evacuation::MissingEvacuation {
                 domain: "lost".into(),
                 left_ms: 39,
             }],
@@ -141,7 +142,7 @@
     }
 }
 
-fn servers() -> Learnt {
+fn servers() -> StoreUpdate {
     let known = Server {
         incarnation: Incarnation::new("id", Some(1_796_000_000_000)),
         service: "service".into(),
@@ -155,11 +156,14 @@
         name: "name".into(),
         problem: "problem".into(),
     };
-    Learnt::Servers(Servers {
+    StoreUpdate::Servers(Servers {
         after: Position::new(4, 5),
         position: Position::new(6, 7),
-        doubt_ms: 8,
-        piece: Piece { number: 9, of: 10 },
+        grace_ms: 8,
+        fragment: Fragment {
+            index: 9,
+            count: 10,
+        },
         changes: vec![
             Change::Known(known),
             Change::Unreadable(fault),
@@ -175,7 +179,7 @@
         path_prefix: format!("/{name}/").into(),
         kind,
         time_limit: Duration::new(u64::from(first), 1),
-        aim: Duration::new(u64::from(first), 2),
+        objective: Duration::new(u64::from(first), 2),
         priority: first + 1,
         max_attempts: first + 2,
         public: true,
@@ -190,7 +194,7 @@
 fn service(name: &str) -> Service {
     Service {
         name: name.into(),
-        engine: Some(Figures {
+        engine: Some(EngineProfile {
             slots: 1,
             memory_tokens: 2,
             step: 3.5,
@@ -210,9 +214,9 @@
 /// Gives a configuration. Its maps have one entry each, because their order is random.
 fn config(version: u64, kinds: &[(&str, Kind)]) -> Config {
     let limits = Limits {
-        header_bytes: 21,
-        body_bytes: 22,
-        idle: Duration::new(23, 24),
+        max_header_bytes: 21,
+        max_body_bytes: 22,
+        idle_timeout: Duration::new(23, 24),
     };
     let workspace = Workspace {
         name: format!("workspace-{version}").into(),
@@ -253,20 +257,23 @@
 #[test]
 fn notices() {
     check(&Message::Notice(notice()), &format!("00{NOTICE}"));
-    check(&Message::Spread(notice()), &format!("01{NOTICE}"));
-    let passed = PassedOn {
+    check(&Message::NoticeToForward(notice()), &format!("01{NOTICE}"));
+    let passed = ForwardedNotice {
         origin: address(48),
         notice: notice(),
     };
     check(
-        &Message::PassedOn(passed),
+        &Message::ForwardedNotice(passed),
         &format!("02000a000030d846{NOTICE}"),
     );
 }
 
 #[test]
 fn questions_on_the_store() {
-    check(&Message::Ask(Ask { asked_us: 1_001 }), "03e907");
+    check(
+        &Message::ConfirmationRequest(ConfirmationRequest { asked_us: 1_001 }),
+        "03e907",
+    );
     let confirmation = Confirmation {
         asked_us: 1,
         age: Some(Duration::new(2, 3)),
@@ -284,8 +291,11 @@
 
 #[test]
 fn changes_of_servers() {
-    check(&Message::Learnt(servers()), &format!("0500{SERVERS}"));
-    check(&Message::Relay(servers()), &format!("0600{SERVERS}"));
+    check(&Message::StoreUpdate(servers()), &format!("0500{SERVERS}"));
+    check(
+        &Message::StoreUpdateToForward(servers()),
+        &format!("0600{SERVERS}"),
+    );
 }
 
 #[test]
@@ -295,7 +305,7 @@
     let patch = Patch::between(&old, &new).expect("a patch");
     assert_eq!(old.patched(&patch).as_ref(), Some(&new));
     check(
-        &Message::Learnt(Learnt::Config(patch)),
+        &Message::StoreUpdate(StoreUpdate::Config(patch)),
         "\
         0501333415161718010b6f6e652e6578616d706c65052f6f6c642f036f6c6401036e65770b6f6e652e65\
         78616d706c65052f6e65772f02010e0f1e011e021f20010106746172676574000000000000d03f010672\
@@ -320,7 +330,7 @@
         domain: None,
     };
     check(
-        &Message::Learnt(Learnt::Hosts(vec![known, unknown])),
+        &Message::StoreUpdate(StoreUpdate::Hosts(vec![known, unknown])),
         "\
         050202046e616d65000a000001a9460106646f6d61696e056f7468657201fd0000000000000000000000\
         00000002aa4600",
@@ -334,7 +344,7 @@
         service: "service".into(),
         missing: 2,
     };
-    check(&Message::Borrow(request), "0701077365727669636502");
+    check(&Message::LoanRequest(request), "0701077365727669636502");
     check(&Message::Loan(Loan { number: 3, part: 4 }), "080304");
 }
 
@@ -344,20 +354,20 @@
         number: 1,
         host: "host".into(),
         server: key(0x02),
-        told: Some(limit()),
+        report: Some(limit()),
         cold: Some(cold_spell()),
     };
     check(
-        &Message::Claim(request.clone()),
+        &Message::GrantRequest(request.clone()),
         "\
         090104686f737402a1a2a3a4a50131a1a2a3a4a520210134a1a2a3a4a52324",
     );
     let only_cold = rate_limit::Request {
-        told: None,
+        report: None,
         ..request
     };
     check(
-        &Message::Claim(only_cold),
+        &Message::GrantRequest(only_cold),
         "090104686f737402a1a2a3a4a5000134a1a2a3a4a52324",
     );
     check(
