--- a/crates/alderglade-core/src/settings/check.rs
+++ b/crates/alderglade-core/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Checks a tree before it is accepted: ranges, references and units.
+//! Validates a tree before it is accepted: ranges, references and units.
 
 use super::policy::Policy;
 use super::tree::{Engine, Fleet, Tree, Workspace};
@@ -6,14 +6,14 @@
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 
-/// Something wrong in a tree.
+/// An error in a settings file or tree.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Fault {
     /// The path in the tree, such as `fleet.engines.e1.model`.
     pub path: String,
-    /// What was found.
+    /// The value or error that was found.
     pub found: String,
-    /// What was expected.
+    /// A description of the values that are allowed.
     pub expected: String,
 }
 
@@ -32,12 +32,12 @@
 const MAX_WEIGHT: u32 = 1_000;
 const DIGEST_DIGITS: usize = 64;
 
-/// Reads one settings file.
+/// Parses one settings file.
 ///
 /// # Errors
 ///
-/// Gives a [`Fault`] with the path in the file at which reading failed: an unknown field, a value
-/// of the wrong type, or text that is no JSON.
+/// Returns a [`Fault`] with the path in the file at which parsing failed: an unknown field, a value
+/// of the wrong type, or text that is not JSON.
 pub fn read<T: DeserializeOwned>(text: &str) -> Result<T, Fault> {
     let mut reader = serde_json::Deserializer::from_str(text);
     let value = serde_path_to_error::deserialize(&mut reader).map_err(|error| Fault {
@@ -53,7 +53,7 @@
     Ok(value)
 }
 
-/// Lists everything that is wrong in a tree; an empty list means that it may be accepted.
+/// Returns all faults of a tree. The tree may be accepted if there are none.
 pub fn check(tree: &Tree) -> Vec<Fault> {
     let mut faults = Vec::new();
     check_fleet(&tree.fleet, &mut faults);
@@ -236,6 +236,7 @@
     }
 }
 
+/// Checks that no two workspaces have the same token.
 fn check_tokens(tree: &Tree, faults: &mut Vec<Fault>) {
     let mut seen = std::collections::BTreeMap::new();
     for (name, workspace) in &tree.workspaces {
@@ -249,6 +250,7 @@
     }
 }
 
+/// Adds a fault at `path` unless the value there is valid.
 fn expect(
     faults: &mut Vec<Fault>,
     valid: bool,
--- a/crates/alderglade-core/src/settings/mod.rs
+++ b/crates/alderglade-core/src/settings/mod.rs
@@ -1,9 +1,12 @@
-//! Settings: a tree of branches, fleet → caller class → workspace → workspace's class → model.
+//! The settings: a tree of branches, fleet → caller class → workspace → workspace's class → model.
 //!
-//! A lower branch inherits from the one above unless it says otherwise. [`tree`] holds the shapes
-//! that operators write, [`policy`] resolves one request's values through the branches and
-//! [`check`] finds what is wrong before a tree is accepted; [`patch`] is what moves between hosts,
-//! [`tokens`] knows whose a bearer token is.
+//! A lower branch inherits each value from the branch above unless it sets the value itself.
+//!
+//! - [`tree`] defines the types of the settings files that operators write.
+//! - [`policy`] resolves the values for a request through the branches.
+//! - [`check`] validates a tree before it is accepted.
+//! - [`patch`] computes and applies the difference between two revisions, which hosts exchange.
+//! - [`tokens`] finds the workspace of a bearer token.
 
 pub mod check;
 pub mod patch;
--- a/crates/alderglade-core/src/settings/patch.rs
+++ b/crates/alderglade-core/src/settings/patch.rs
@@ -1,32 +1,33 @@
-//! What differs between two revisions, so that a change moves little between hosts.
+//! Differences between two revisions of the settings, so that hosts exchange little for a change.
 //!
-//! At 3,700 workspaces a tree is two megabytes; a change of one workspace is half a kilobyte.
+//! A tree with 3,700 workspaces has two megabytes; the patch for one changed workspace has half a
+//! kilobyte.
 
 use super::tree::{Engine, Fleet, Tree, Workspace};
 use crate::Name;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The entries of a map that differ: the new value, or none where it is gone.
+/// The entries of a map that differ: the new value, or `None` for a removed entry.
 type Changes<T> = BTreeMap<Name, Option<T>>;
 
-/// What differs between two revisions.
+/// The difference between two revisions of the settings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Patch {
-    /// The revision that it changes.
+    /// The revision that the patch applies to.
     pub base: u64,
-    /// The revision that it leads to.
+    /// The revision that results.
     pub revision: u64,
-    /// The fleet's branch without its engines, if anything in it differs.
+    /// The new fleet branch without its engines, if it differs.
     pub fleet: Option<Fleet>,
-    /// Engines that differ.
+    /// The engines that differ.
     pub engines: Changes<Engine>,
-    /// Workspaces that differ.
+    /// The workspaces that differ.
     pub workspaces: Changes<Workspace>,
 }
 
 impl Patch {
-    /// Finds what leads from one tree to another.
+    /// Computes the patch that turns `old` into `new`.
     pub fn between(old: &Tree, new: &Tree) -> Patch {
         let (before, after) = (without_engines(&old.fleet), without_engines(&new.fleet));
         Patch {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Applies the patch; gives nothing where the tree isn't the one that it changes.
+    /// Returns the tree with the patch applied, or `None` if its revision is not [`Patch::base`].
     pub fn apply(&self, tree: &Tree) -> Option<Tree> {
         if tree.revision != self.base {
             return None;
@@ -50,12 +51,13 @@
             new.fleet = fleet.clone();
             new.fleet.engines = engines;
         }
-        put(&mut new.fleet.engines, &self.engines);
-        put(&mut new.workspaces, &self.workspaces);
+        apply_changes(&mut new.fleet.engines, &self.engines);
+        apply_changes(&mut new.workspaces, &self.workspaces);
         Some(new)
     }
 }
 
+/// Copies the fleet branch without its engines, which a patch has one by one.
 fn without_engines(fleet: &Fleet) -> Fleet {
     Fleet {
         models: fleet.models.clone(),
@@ -71,13 +73,13 @@
     let differs = |(name, value): &(&Name, &T)| old.get(*name) != Some(*value);
     let changed = new.iter().filter(differs);
     let changed = changed.map(|(name, value)| (name.clone(), Some(value.clone())));
-    let gone = old.keys().filter(|name| !new.contains_key(*name));
+    let removed = old.keys().filter(|name| !new.contains_key(*name));
     changed
-        .chain(gone.map(|name| (name.clone(), None)))
+        .chain(removed.map(|name| (name.clone(), None)))
         .collect()
 }
 
-fn put<T: Clone>(map: &mut BTreeMap<Name, T>, changes: &Changes<T>) {
+fn apply_changes<T: Clone>(map: &mut BTreeMap<Name, T>, changes: &Changes<T>) {
     for (name, change) in changes {
         match change {
             Some(value) => map.insert(name.clone(), value.clone()),
--- a/crates/alderglade-core/src/settings/tokens.rs
+++ b/crates/alderglade-core/src/settings/tokens.rs
@@ -1,4 +1,4 @@
-//! Finding the workspace that a bearer token belongs to.
+//! Finds the workspace that a bearer token belongs to.
 
 use super::tree::Tree;
 use crate::Name;
@@ -6,14 +6,14 @@
 use std::collections::HashMap;
 use subtle::ConstantTimeEq;
 
-/// The workspaces by the digest of their token.
+/// The workspaces by the SHA-256 digest of their token.
 #[derive(Debug, Default)]
 pub struct Tokens {
     by_digest: HashMap<Vec<u8>, Name>,
 }
 
 impl Tokens {
-    /// Indexes a tree's workspaces.
+    /// Builds the index for the workspaces of a tree.
     pub fn of(tree: &Tree) -> Tokens {
         let digest = |text: &str| hex::decode(text).unwrap_or_default();
         let workspaces = tree.workspaces.iter();
@@ -23,10 +23,10 @@
         }
     }
 
-    /// Names the workspace that a token belongs to.
+    /// Returns the workspace that a token belongs to, if any.
     ///
-    /// Looking up by digest tells nothing of the token; the digests are then compared in constant
-    /// time all the same.
+    /// The time of the lookup by digest reveals nothing about the token. The digests are compared in
+    /// constant time nevertheless.
     pub fn workspace(&self, token: &str) -> Option<Name> {
         let digest = Sha256::digest(token.as_bytes());
         let (stored, name) = self.by_digest.get_key_value(digest.as_slice())?;
--- a/crates/alderglade-core/src/settings/tree.rs
+++ b/crates/alderglade-core/src/settings/tree.rs
@@ -1,22 +1,22 @@
-//! The shapes of the settings files.
+//! The types of the settings files.
 
 use super::policy::Policy;
 use crate::Name;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The whole tree in force: the fleet's branch and a branch for each workspace.
+/// The settings of one revision: the fleet's branch and a branch for each workspace.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Tree {
-    /// Grows by one with each accepted change, `0` before the first.
+    /// Incremented with each accepted change; `0` before the first.
     pub revision: u64,
-    /// What holds for all.
+    /// The settings of the whole fleet.
     pub fleet: Fleet,
     /// The workspaces by name.
     pub workspaces: BTreeMap<Name, Workspace>,
 }
 
-/// What holds for the whole fleet: `fleet.json`.
+/// The settings of the whole fleet: `fleet.json`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
@@ -28,29 +28,30 @@
     pub services: BTreeMap<Name, Service>,
     /// The values that every request inherits.
     pub policy: Policy,
-    /// The caller classes by name, each with the values it sets.
+    /// The caller classes by name, each with the values that it sets.
     pub classes: BTreeMap<Name, Policy>,
-    /// How many engines of one model and failure domain share a queue; `0` means the default.
+    /// Maximum number of engines of a model and failure domain that share a queue; `0` means
+    /// [`DEFAULT_CELL_ENGINES`].
     pub cell_engines: usize,
 }
 
-/// A model.
+/// A model and its speed on one engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Prompt tokens that one engine prefills in a second when it does nothing else.
+    /// Prefill speed of an otherwise idle engine, in prompt tokens per second.
     pub prefill_tokens_per_second: u64,
-    /// The time of one decode step of an engine that does nothing else, in milliseconds.
+    /// Duration of one decode step of an otherwise idle engine, in milliseconds.
     pub step_ms: u64,
-    /// Prompt tokens that one step prefills at most while nothing decodes.
+    /// Maximum number of prompt tokens prefilled per step while nothing is decoded.
     #[serde(default = "chunk")]
     pub chunk_tokens: u64,
-    /// Prompt tokens that one step prefills at most beside decoding streams.
+    /// Maximum number of prompt tokens prefilled per step while streams are decoded.
     #[serde(default = "mixed_chunk")]
     pub mixed_chunk_tokens: u64,
-    /// The longest prompt, in tokens.
+    /// Maximum length of a prompt, in tokens.
     pub max_prompt_tokens: u64,
-    /// The version of the weights that engines shall have; changing it orders a load.
+    /// The version of the weights that engines have to load; a change orders a load.
     #[serde(default)]
     pub version: Name,
 }
@@ -61,15 +62,15 @@
 pub struct Engine {
     /// The model that it serves.
     pub model: Name,
-    /// The failure domain that it stands in.
+    /// The failure domain that it belongs to.
     pub domain: Name,
-    /// Its address: IP number and port.
+    /// Its IP address and port.
     pub address: Name,
-    /// How many tokens of KV cache its memory holds.
+    /// Capacity of its KV cache, in tokens.
     pub kv_tokens: u64,
-    /// How many streams it decodes at once.
+    /// Maximum number of streams that it decodes at once.
     pub max_batch: usize,
-    /// Whether it refuses orders with an older fencing epoch.
+    /// Whether it rejects orders with an outdated fencing epoch.
     #[serde(default = "yes")]
     pub checks_orders: bool,
 }
@@ -78,9 +79,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Whether a call may be sent a second time after contact was lost.
+    /// Whether a call may be sent again after the connection was lost.
     pub repeatable: bool,
-    /// The servers that answer for it.
+    /// The servers that provide the service.
     pub servers: Vec<Server>,
 }
 
@@ -88,45 +89,45 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
-    /// Its name, as the platform's host list gives it.
+    /// Its name in the platform's list of hosts.
     pub name: Name,
-    /// The failure domain that it stands in.
+    /// The failure domain that it belongs to.
     pub domain: Name,
-    /// Its address: IP number and port.
+    /// Its IP address and port.
     pub address: Name,
 }
 
-/// A workspace: `workspaces/NAME.json`.
+/// The settings of a workspace: `workspaces/NAME.json`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Workspace {
     /// The SHA-256 digest of its bearer token, 64 hexadecimal digits.
     pub token_sha256: Name,
-    /// The models that it may reach; empty means all.
+    /// The models that it may use; empty means all.
     pub models: Vec<Name>,
-    /// The services that it may reach; empty means all.
+    /// The services that it may call; empty means all.
     pub services: Vec<Name>,
-    /// The values that it sets.
+    /// The values that all its requests inherit.
     pub policy: Policy,
-    /// What it sets for single caller classes.
+    /// Settings for individual caller classes.
     pub classes: BTreeMap<Name, Branch>,
 }
 
-/// What a workspace sets for one caller class.
+/// The settings of a workspace for one caller class.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Branch {
     /// The values for the class.
     pub policy: Policy,
-    /// The values for single models within the class.
+    /// The values for individual models within the class.
     pub models: BTreeMap<Name, Policy>,
 }
 
-/// How many engines share a queue where the settings say nothing.
+/// Value of [`Fleet::cell_size`] if the settings give none.
 pub const DEFAULT_CELL_ENGINES: usize = 16;
 
 impl Fleet {
-    /// Gives how many engines of one model and failure domain share a queue.
+    /// Returns the maximum number of engines of a model and failure domain that share a queue.
     pub fn cell_size(&self) -> usize {
         match self.cell_engines {
             0 => DEFAULT_CELL_ENGINES,
--- a/crates/alderglade-core/tests/testsuite/settings.rs
+++ b/crates/alderglade-core/tests/testsuite/settings.rs
@@ -1,4 +1,4 @@
-//! The tree: inheritance, origins, and faults that name their place.
+//! The settings tree: inheritance, origins of values, patches, and the paths of faults.
 
 use crate::each_seed;
 use alderglade_core::settings::check::{check, read};
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_lower_branch_inherits_unless_it_says_otherwise() {
+fn a_lower_branch_inherits_values_it_doesnt_set() {
     each_seed(200, |u| {
         let mut values = Vec::new();
         for _ in 0..5 {
@@ -43,19 +43,19 @@
             "workspaces.w.classes.desk.policy",
             "workspaces.w.classes.desk.models.m",
         ];
-        let last = values.iter().rposition(Option::is_some);
+        let innermost = values.iter().rposition(Option::is_some);
         let origins = tree.explain("w", "desk", "m");
         let origin = origins
             .iter()
             .find(|origin| origin.field == "weight")
             .expect("a weight");
-        assert_eq!(origin.branch, last.map_or("default", |last| paths[last]));
+        assert_eq!(origin.branch, innermost.map_or("default", |at| paths[at]));
         Ok(())
     });
 }
 
 #[test]
-fn a_patch_leads_from_any_tree_to_any_other() {
+fn a_patch_turns_any_tree_into_any_other() {
     each_seed(200, |u| {
         let mut trees = Vec::new();
         for revision in 1..3 {
@@ -81,13 +81,17 @@
         }
         let patch = Patch::between(&trees[0], &trees[1]);
         assert_eq!(patch.apply(&trees[0]).as_ref(), Some(&trees[1]));
-        assert_eq!(patch.apply(&trees[1]), None, "it changes another revision");
+        assert_eq!(
+            patch.apply(&trees[1]),
+            None,
+            "the patch applies to another revision"
+        );
         Ok(())
     });
 }
 
 #[test]
-fn faults_name_the_path_and_what_was_expected() {
+fn faults_have_the_path_of_the_value() {
     let unknown =
         read::<Fleet>(r#"{"models": {"m": {"prefill_tokens_per_second": 1, "steps": 2}}}"#);
     let fault = unknown.expect_err("an unknown field");
@@ -95,7 +99,7 @@
     let wrong =
         read::<Fleet>(r#"{"policy": {"time_allowed_ms": "soon"}}"#).expect_err("a wrong type");
     assert_eq!(wrong.path, "policy.time_allowed_ms");
-    let trailing = read::<Fleet>("{} {}").expect_err("text behind the brace");
+    let trailing = read::<Fleet>("{} {}").expect_err("text after the brace");
     assert_eq!(trailing.path, ".");
     let text = r#"{"policy": {"objective_per_mille": 1000}, "engines": {"e": {"model": "none",
         "domain": "d", "address": "host:1", "kv_tokens": 1, "max_batch": 1}}}"#;
