--- a/crates/alderglade-core/src/ledger.rs
+++ b/crates/alderglade-core/src/ledger.rs
@@ -1,15 +1,19 @@
-//! At most once: a claim is recorded in the platform before a non-repeatable request is sent.
+//! The ledger makes non-repeatable requests run at most once: a claim is recorded in the platform
+//! before the request is sent.
 //!
-//! Keys are spread over shards. A shard is a row of segments in the platform's object API; only
-//! the last one is open, and every change of it is conditional on its version. Claims that come
-//! together are written together, so writes a second are bounded whatever the request rate.
+//! Keys are distributed over shards. A shard is a sequence of segments in the platform's object API.
+//! Only the last segment is open, and every write to it is conditional on its version. Claims that
+//! arrive together are written together, so the number of writes per second is bounded whatever the
+//! request rate.
 //!
-//! Segments live in a ring of objects that are emptied and used again, never deleted: a host that
-//! slept for long and still believes an old segment to be open states a version that is gone.
+//! Segments are stored in a ring of objects that are emptied and reused, never deleted. A host that
+//! was suspended for long and still considers an old segment open then writes with an outdated
+//! version, and the write fails.
 //!
-//! Safety rests on the conditional write alone. Two homes of a shard may exist: one write wins,
-//! the other home reads again and finds the key. A writer that lost the answer to its write also
-//! reads again: the record names its claimant, so it sees whether its own write took effect.
+//! Safety depends only on the conditional write. A shard may have two homes at the same time: one
+//! write wins, the other home reads the segments again and finds the key. A writer that did not
+//! receive the result of its write also reads again. Each record names its claimant, so the writer
+//! sees whether its own write took effect.
 
 mod judge;
 mod shard;
@@ -23,102 +27,103 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Shards of the ledger.
-pub const SHARDS: u32 = 16;
-/// Writes of one shard come at least this far apart.
-pub const COMMIT_EVERY: Duration = Duration::from_millis(50);
-/// A segment with more bytes than this is sealed with its next write.
-pub const SEGMENT_BYTES: usize = 64 * 1_024;
-/// Objects of one shard; segment `n` lives in object `n % RING`.
-pub const RING: u64 = 256;
-/// A key is kept this long after its issue time.
-pub const KEY_LIFE: Duration = Duration::from_secs(600);
-/// Clocks of callers and hosts may differ by this much.
-pub const SKEW: Duration = Duration::from_secs(60);
-/// The most bytes of an answer that are kept for repeating it.
+/// Number of shards of the ledger.
+pub const SHARD_COUNT: u32 = 16;
+/// Minimum interval between two writes of a shard.
+pub const COMMIT_INTERVAL: Duration = Duration::from_millis(50);
+/// A segment is sealed by the write that makes it larger than this many bytes.
+pub const SEAL_THRESHOLD_BYTES: usize = 64 * 1_024;
+/// Number of objects of a shard; segment `n` is stored in object `n % RING_SLOTS`.
+pub const RING_SLOTS: u64 = 256;
+/// A key is valid for this long after its issue time.
+pub const KEY_LIFETIME: Duration = Duration::from_secs(600);
+/// Maximum difference between the clocks of callers and hosts.
+pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(60);
+/// Maximum size in bytes of an answer that is kept for replays.
 pub const KEPT_BODY: usize = 2_048;
 
-/// A wish to run a non-repeatable request.
+/// A request to record that a non-repeatable request is about to run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The key, workspace included.
+    /// The idempotency key, including the workspace.
     pub key: Name,
-    /// A digest of what is asked, so that a key isn't used for two things.
+    /// A fingerprint of the request, to detect a key that is used for two different requests.
     pub body: u64,
-    /// When the caller issued the key, in milliseconds of the Unix epoch.
+    /// When the caller issued the key, in milliseconds since the Unix epoch.
     pub issued_ms: u64,
-    /// The request that wants to run.
+    /// The request that claims the key.
     pub claimant: Id,
-    /// The entry host that has the request in hand.
+    /// The entry host that handles the request.
     pub host: Name,
 }
 
 /// How a claimed request ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It was not sent after all: the key may be claimed again.
+    /// The request was not sent; another request may claim the key.
     NotSent,
-    /// It was answered.
+    /// The request was answered.
     Answered {
-        /// The status of the answer.
+        /// The HTTP status of the answer.
         status: u16,
-        /// The answer, if it was short enough to keep.
+        /// The body of the answer, if it has at most [`KEPT_BODY`] bytes.
         body: Option<String>,
     },
-    /// Contact was lost; nobody knows.
+    /// It is unknown whether the request ran: the connection to the backend was lost, the time ran
+    /// out, or the caller left.
     Unknown,
 }
 
-/// Says how a claimed request ended.
+/// A request to record the outcome of a claimed request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Settled {
     /// The claim.
     pub claim: Claim,
-    /// How it ended.
+    /// The outcome of its request.
     pub outcome: Outcome,
 }
 
 /// The answer to a claim.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It is recorded: send the request, once.
+    /// The claim is recorded: the request may be sent once.
     Granted,
-    /// The first request with this key ended so.
+    /// An earlier request with this key had this outcome.
     Replay(Outcome),
-    /// No; nothing is sent.
+    /// The claim is refused: the request must not be sent.
     Refused(Kind),
 }
 
-/// One line of a segment.
+/// One entry of a segment.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// The claim.
     pub claim: Claim,
-    /// How it ended, if it has.
+    /// The outcome of its request; `None` while the request is in flight.
     pub outcome: Option<Outcome>,
 }
 
-/// The content of one object.
+/// The content of one object of a shard.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Segment {
-    /// Counts the shard's segments.
+    /// The number of the segment, counted from 0 within the shard.
     pub number: u64,
-    /// Whether nothing may be added any more.
+    /// Whether the segment is closed to further records.
     pub sealed: bool,
-    /// The records, a later one of a key replacing an earlier.
+    /// The records. A later record of a key replaces an earlier one.
     pub records: Vec<Record>,
 }
 
-/// A segment as read, with its version in the platform.
+/// A segment with the version of its object in the platform.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Versioned {
     /// The content.
     pub segment: Segment,
-    /// The version; a write states it.
+    /// The version, which a conditional write has to give.
     pub version: u64,
 }
 
-/// What a shard wants from the platform.
+/// An output of a [`Shard`], to be carried out by its host.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Read the shard's segments.
@@ -126,64 +131,64 @@
         /// The shard.
         shard: u32,
     },
-    /// Write a segment, if its version is still this; `0` means it must not exist yet.
+    /// Write a segment if its object still has the given version.
     Write {
         /// The shard.
         shard: u32,
-        /// The version that it must have.
+        /// The required version; `0` means that the object must not exist yet.
         version: u64,
         /// The new content.
         segment: Segment,
     },
-    /// Empty a sealed segment whose keys are all past their life.
+    /// Empty a sealed segment whose keys have all expired.
     Clear {
         /// The shard.
         shard: u32,
-        /// The version that it must have.
+        /// The required version.
         version: u64,
         /// The emptied content.
         segment: Segment,
     },
     /// Answer a claim.
     Answer {
-        /// The entry host that claimed.
+        /// The entry host that sent the claim.
         to: Name,
         /// The request.
         request: Id,
         /// The answer.
         verdict: Verdict,
     },
-    /// Ask the host that holds a key whether its request was ever sent.
+    /// Ask the host whose claim holds a key whether its request was ever sent.
     Inquire {
         /// The claim that holds the key.
         claim: Claim,
     },
     /// Confirm that an outcome is recorded.
     Confirm {
-        /// The entry host that settled.
+        /// The entry host that sent the outcome.
         to: Name,
         /// The request.
         request: Id,
     },
 }
 
-/// How a write ended.
+/// The result of a write.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Written {
-    /// It took effect; the new version.
+    /// The write took effect; contains the new version.
     Done(u64),
-    /// Another write came first.
+    /// The object had another version: another write came first.
     Conflict,
-    /// No answer: it may have taken effect.
+    /// No answer was received; the write may have taken effect.
     Unknown,
 }
 
-/// Gives the object of the ring that a segment lives in.
+/// Returns the number of the object in the ring that stores a segment.
 pub fn slot_of(number: u64) -> u64 {
-    number % RING
+    number % RING_SLOTS
 }
 
-/// Gives the shard that a key belongs to.
+/// Returns the shard that a key belongs to.
 pub fn shard_of(key: &str) -> u32 {
-    (xxh3_64(key.as_bytes()) % u64::from(SHARDS)) as u32
+    (xxh3_64(key.as_bytes()) % u64::from(SHARD_COUNT)) as u32
 }
--- a/crates/alderglade-core/src/ledger/judge.rs
+++ b/crates/alderglade-core/src/ledger/judge.rs
@@ -1,31 +1,35 @@
-//! Deciding one wish by the record of its key, and how old keys and segments are.
+//! Decides operations on a shard from the records of their keys; expiry of keys and size of segments.
 
-use super::shard::Wish;
-use super::{Claim, KEY_LIFE, Outcome, Record, SKEW, Segment, Settled, Verdict};
+use super::shard::Operation;
+use super::{Claim, KEY_LIFETIME, MAX_CLOCK_SKEW, Outcome, Record, Segment, Settled, Verdict};
 use crate::Name;
 use crate::error::Kind;
 use std::collections::HashMap;
 
-/// Bytes of a record beside its texts, about.
+/// Approximate size in bytes of a record without its key and body.
 const RECORD_BYTES: usize = 160;
 
-/// What a wish comes to.
+/// The next step for an operation.
 pub(super) enum Step {
+    /// Write a record.
     Write(Record),
+    /// Answer a claim.
     Answer(Verdict),
+    /// The key is held by this claim, whose request has no outcome yet.
     InFlight(Claim),
+    /// Confirm an outcome: nothing has to be written.
     Confirm,
 }
 
-/// Decides one wish by the record of its key, if there is one.
-pub(super) fn judge(wish: &Wish, known: impl Fn(&Name) -> Option<Record>) -> Step {
-    match wish {
-        Wish::Claim(claim) => judge_claim(claim, known(&claim.key)),
-        Wish::Settle(settled) => judge_settled(settled, known(&settled.claim.key)),
+/// Decides an operation. `known` returns the latest record of a key, if there is one.
+pub(super) fn decide(operation: &Operation, known: impl Fn(&Name) -> Option<Record>) -> Step {
+    match operation {
+        Operation::Claim(claim) => decide_claim(claim, known(&claim.key)),
+        Operation::Settle(settled) => decide_settle(settled, known(&settled.claim.key)),
     }
 }
 
-fn judge_claim(claim: &Claim, known: Option<Record>) -> Step {
+fn decide_claim(claim: &Claim, known: Option<Record>) -> Step {
     let fresh = Record {
         claim: claim.clone(),
         outcome: None,
@@ -49,40 +53,41 @@
     }
 }
 
-fn judge_settled(settled: &Settled, known: Option<Record>) -> Step {
+fn decide_settle(settled: &Settled, known: Option<Record>) -> Step {
     let ended = Record {
         claim: settled.claim.clone(),
         outcome: Some(settled.outcome.clone()),
     };
     match known {
-        // The claim may yet arrive at another home of the shard: what is recorded now refuses it.
+        // The claim may still arrive, also at another home of the shard. This record refuses it then.
         None => Step::Write(ended),
         Some(record) if record.claim.claimant == settled.claim.claimant => match record.outcome {
             None => Step::Write(ended),
             Some(_) => Step::Confirm,
         },
-        // Another request holds the key: this one's claim never took effect, nor will it.
+        // Another request holds the key: the claim of this one neither took effect nor will.
         Some(_) => Step::Confirm,
     }
 }
 
+/// Returns why a claim is refused for its issue time: too far in the future, or expired.
 pub(super) fn check_age(claim: &Claim, wall_ms: u64) -> Option<Kind> {
-    let life = KEY_LIFE.as_millis() as u64;
-    let skew = SKEW.as_millis() as u64;
+    let lifetime = KEY_LIFETIME.as_millis() as u64;
+    let skew = MAX_CLOCK_SKEW.as_millis() as u64;
     if claim.issued_ms > wall_ms + skew {
         return Some(Kind::BadRequest);
     }
-    let old = claim.issued_ms + life < wall_ms;
-    old.then_some(Kind::KeyExpired)
+    let expired = claim.issued_ms + lifetime < wall_ms;
+    expired.then_some(Kind::KeyExpired)
 }
 
-/// Past its life for every host, even one whose clock is behind.
-pub(super) fn is_past(issued_ms: u64, wall_ms: u64) -> bool {
-    let kept = (KEY_LIFE + 2 * SKEW).as_millis() as u64;
+/// Returns whether a key has expired for every host, even one whose clock is behind.
+pub(super) fn is_expired(issued_ms: u64, wall_ms: u64) -> bool {
+    let kept = (KEY_LIFETIME + 2 * MAX_CLOCK_SKEW).as_millis() as u64;
     issued_ms + kept < wall_ms
 }
 
-/// Drops records that a later one of the same key replaces, and keys past their life.
+/// Removes records that a later record of the same key replaces, and records of expired keys.
 pub(super) fn drop_superseded(segment: &mut Segment, wall_ms: u64) {
     let mut last = HashMap::new();
     for (position, record) in segment.records.iter().enumerate() {
@@ -92,14 +97,16 @@
     segment.records.retain(|record| {
         let newest = last.get(&record.claim.key) == Some(&position);
         position += 1;
-        newest && !is_past(record.claim.issued_ms, wall_ms)
+        newest && !is_expired(record.claim.issued_ms, wall_ms)
     });
 }
 
+/// Returns the approximate size of a segment in bytes.
 pub(super) fn size(segment: &Segment) -> usize {
     segment.records.iter().map(record_size).sum()
 }
 
+/// Returns the approximate size of a record in bytes.
 pub(super) fn record_size(record: &Record) -> usize {
     let body = match &record.outcome {
         Some(Outcome::Answered {
--- a/crates/alderglade-core/src/ledger/shard.rs
+++ b/crates/alderglade-core/src/ledger/shard.rs
@@ -1,9 +1,9 @@
-//! One shard, as its home has it: what waits, what is being written, what is known.
+//! The state of a shard at its home: known records, waiting operations and the write in progress.
 
 use super::judge::{self, Step};
 use super::{
-    Action, COMMIT_EVERY, Claim, Record, SEGMENT_BYTES, Segment, Settled, Verdict, Versioned,
-    Written, slot_of,
+    Action, COMMIT_INTERVAL, Claim, Record, SEAL_THRESHOLD_BYTES, Segment, Settled, Verdict,
+    Versioned, Written, slot_of,
 };
 use crate::Name;
 use crate::error::Kind;
@@ -12,37 +12,41 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// An answer from the platform is waited for this long.
-const ANSWER_LIMIT: Duration = Duration::from_secs(3);
-/// A wish waits this long; whoever sent it repeats it if it still stands.
-const WAIT_LIMIT: Duration = Duration::from_secs(3);
-/// What was read or written no longer ago than this is taken as it stands; only a key that seems
-/// to be in flight is read again after that.
+/// A read or write of the platform without an answer is given up after this time.
+const PLATFORM_TIMEOUT: Duration = Duration::from_secs(3);
+/// An operation is dropped after this time. Its sender retries it if it is still needed.
+const OPERATION_TIMEOUT: Duration = Duration::from_secs(3);
+/// The known records are current for this long after the last read or write of the shard.
+///
+/// After that, the segments are read again before a claim is refused because its key is in flight.
 const FRESH: Duration = Duration::from_secs(1);
 
-/// What somebody wants of the shard.
+/// A request of an entry host to the shard.
 #[derive(Debug, Clone)]
-pub(super) enum Wish {
+pub(super) enum Operation {
     Claim(Claim),
     Settle(Settled),
 }
 
-impl Wish {
+impl Operation {
     fn claimant(&self) -> Id {
         match self {
-            Wish::Claim(claim) => claim.claimant,
-            Wish::Settle(settled) => settled.claim.claimant,
+            Operation::Claim(claim) => claim.claimant,
+            Operation::Settle(settled) => settled.claim.claimant,
         }
     }
 }
 
+/// An operation that waits or is being written.
 #[derive(Debug, Clone)]
-struct Waiter {
+struct Pending {
+    /// The entry host that sent the operation.
     from: Name,
-    wish: Wish,
+    operation: Operation,
     since: Time,
 }
 
+/// The state of the communication with the platform.
 #[derive(Debug, Clone, PartialEq)]
 enum Phase {
     Unread,
@@ -51,34 +55,41 @@
     Writing { since: Time },
 }
 
-/// One shard, as its home has it.
+/// The state of one shard at its home.
 #[derive(Debug)]
 pub struct Shard {
     number: u32,
     phase: Phase,
+    /// The latest record of each key.
     records: HashMap<Name, Record>,
     sealed: Vec<Sealed>,
+    /// The version of each object of the ring, by slot.
     versions: HashMap<u64, u64>,
     open: Versioned,
-    waiting: VecDeque<Waiter>,
-    writing: Vec<Waiter>,
+    waiting: VecDeque<Pending>,
+    /// The operations whose records are in the write in progress.
+    writing: Vec<Pending>,
+    /// The content of the write in progress.
     written: Option<Segment>,
     last_write: Option<Time>,
+    /// When the shard was last read or written successfully.
     synced: Time,
     actions: Vec<Action>,
     writes: u64,
 }
 
+/// What is kept of a sealed segment; its records are in [`Shard::records`].
 #[derive(Debug, Clone)]
 struct Sealed {
     number: u64,
     version: u64,
+    /// The latest issue time of its keys, in milliseconds since the Unix epoch.
     newest_ms: u64,
     empty: bool,
 }
 
 impl Shard {
-    /// Starts a shard that has read nothing yet.
+    /// Creates a shard whose segments have not been read yet.
     pub fn new(number: u32) -> Shard {
         Shard {
             number,
@@ -97,60 +108,60 @@
         }
     }
 
-    /// Gives what the shard wants done since it was last asked.
+    /// Returns the actions since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Gives how many writes were asked for.
+    /// Returns the number of writes requested so far.
     pub fn writes(&self) -> u64 {
         self.writes
     }
 
-    /// Says whether nobody waits for the shard.
+    /// Returns whether no operation waits or is being written.
     pub fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.writing.is_empty()
     }
 
-    /// Takes a claim. A claim that waits already is left as it is.
+    /// Handles a claim. A claim that already waits is not added again.
     pub fn claim(&mut self, from: &Name, claim: Claim, now: Time, wall_ms: u64) {
         if let Some(kind) = judge::check_age(&claim, wall_ms) {
             self.answer(from, claim.claimant, Verdict::Refused(kind));
             return;
         }
-        self.wait(from, Wish::Claim(claim), now);
+        self.enqueue(from, Operation::Claim(claim), now);
         self.advance(now, wall_ms);
     }
 
-    /// Takes the outcome of a claimed request.
+    /// Handles the outcome of a claimed request.
     pub fn settle(&mut self, from: &Name, settled: Settled, now: Time, wall_ms: u64) {
-        self.wait(from, Wish::Settle(settled), now);
+        self.enqueue(from, Operation::Settle(settled), now);
         self.advance(now, wall_ms);
     }
 
-    fn wait(&mut self, from: &Name, wish: Wish, now: Time) {
-        let same = |waiter: &Waiter| {
-            waiter.wish.claimant() == wish.claimant()
-                && std::mem::discriminant(&waiter.wish) == std::mem::discriminant(&wish)
+    fn enqueue(&mut self, from: &Name, operation: Operation, now: Time) {
+        let same = |pending: &Pending| {
+            pending.operation.claimant() == operation.claimant()
+                && std::mem::discriminant(&pending.operation) == std::mem::discriminant(&operation)
         };
         if self.waiting.iter().chain(&self.writing).any(same) {
             return;
         }
-        self.waiting.push_back(Waiter {
+        self.waiting.push_back(Pending {
             from: from.clone(),
-            wish,
+            operation,
             since: now,
         });
     }
 
-    /// Takes the shard's segments as the platform has them; `None` if it gave no answer.
+    /// Handles the end of a read: the segments in the platform, or `None` if the read failed.
     pub fn read(&mut self, segments: Option<Vec<Versioned>>, now: Time, wall_ms: u64) {
         if !matches!(self.phase, Phase::Reading { .. }) {
             return;
         }
         let Some(segments) = segments else {
             self.phase = Phase::Unread;
-            self.give_up();
+            self.refuse_claims();
             return;
         };
         self.load(segments);
@@ -166,12 +177,12 @@
         self.versions.clear();
         self.open = Versioned::default();
         for versioned in segments {
-            self.learn(versioned);
+            self.apply_segment(versioned);
         }
     }
 
-    /// Takes in one segment; they come in the order of their numbers.
-    fn learn(&mut self, versioned: Versioned) {
+    /// Adds the records of a segment. Segments have to be added in the order of their numbers.
+    fn apply_segment(&mut self, versioned: Versioned) {
         for record in &versioned.segment.records {
             self.records
                 .insert(record.claim.key.clone(), record.clone());
@@ -186,6 +197,7 @@
         }
     }
 
+    /// Returns an empty segment with the version that its object now has.
     fn next_segment(&self, number: u64) -> Versioned {
         let version = self.versions.get(&slot_of(number)).copied();
         Versioned {
@@ -197,16 +209,16 @@
         }
     }
 
-    /// Says whether the ring has come round to a segment whose keys still live.
+    /// Returns whether the object of the open segment still stores an older segment that isn't empty.
     fn is_full(&self) -> bool {
         let slot = slot_of(self.open.segment.number);
-        let mut live = self.sealed.iter().filter(|sealed| !sealed.empty);
-        live.any(|sealed| {
+        let mut occupied = self.sealed.iter().filter(|sealed| !sealed.empty);
+        occupied.any(|sealed| {
             slot_of(sealed.number) == slot && sealed.number != self.open.segment.number
         })
     }
 
-    /// Takes the end of a write.
+    /// Handles the end of a write.
     pub fn wrote(&mut self, written: Written, now: Time, wall_ms: u64) {
         if !matches!(self.phase, Phase::Writing { .. }) {
             return;
@@ -216,7 +228,7 @@
                 self.synced = now;
                 self.commit(version);
             }
-            Written::Conflict | Written::Unknown => self.take_back(now),
+            Written::Conflict | Written::Unknown => self.requeue_and_read(now),
         }
         self.advance(now, wall_ms);
     }
@@ -226,20 +238,24 @@
         let Some(segment) = self.written.take() else {
             return;
         };
-        self.learn(Versioned { segment, version });
-        for waiter in std::mem::take(&mut self.writing) {
-            match waiter.wish {
-                Wish::Claim(claim) => self.answer(&waiter.from, claim.claimant, Verdict::Granted),
-                Wish::Settle(settled) => self.confirm(&waiter.from, settled.claim.claimant),
+        self.apply_segment(Versioned { segment, version });
+        for pending in std::mem::take(&mut self.writing) {
+            match pending.operation {
+                Operation::Claim(claim) => {
+                    self.answer(&pending.from, claim.claimant, Verdict::Granted)
+                }
+                Operation::Settle(settled) => self.confirm(&pending.from, settled.claim.claimant),
             }
         }
     }
 
-    /// The write's fate is open or it lost: whoever waited waits on, and all is read again.
-    fn take_back(&mut self, now: Time) {
+    /// Handles a write that failed or whose result is unknown.
+    ///
+    /// Its operations wait again, and the segments are read again.
+    fn requeue_and_read(&mut self, now: Time) {
         self.written = None;
-        for waiter in std::mem::take(&mut self.writing).into_iter().rev() {
-            self.waiting.push_front(waiter);
+        for pending in std::mem::take(&mut self.writing).into_iter().rev() {
+            self.waiting.push_front(pending);
         }
         self.start_read(now);
     }
@@ -250,34 +266,37 @@
         self.actions.push(Action::Read { shard });
     }
 
-    /// Tells everyone who waits for a claim that it can't be recorded now.
+    /// Refuses the waiting claims because they can't be recorded now.
     ///
-    /// Outcomes wait on: whoever sent them repeats them until they are confirmed.
-    fn give_up(&mut self) {
-        for waiter in std::mem::take(&mut self.waiting) {
-            if let Wish::Claim(claim) = waiter.wish {
+    /// Waiting outcomes are dropped: their senders repeat them until they are confirmed.
+    fn refuse_claims(&mut self) {
+        for pending in std::mem::take(&mut self.waiting) {
+            if let Operation::Claim(claim) = pending.operation {
                 let verdict = Verdict::Refused(Kind::PlatformUnavailable);
-                self.answer(&waiter.from, claim.claimant, verdict);
+                self.answer(&pending.from, claim.claimant, verdict);
             }
         }
     }
 
-    /// Lets time pass.
+    /// Handles timeouts, starts writes that are due and empties expired segments.
     pub fn tick(&mut self, now: Time, wall_ms: u64) {
         match self.phase {
-            Phase::Reading { since } if now.since(since) > ANSWER_LIMIT => {
+            Phase::Reading { since } if now.since(since) > PLATFORM_TIMEOUT => {
                 self.phase = Phase::Unread;
-                self.give_up();
+                self.refuse_claims();
+            }
+            Phase::Writing { since } if now.since(since) > PLATFORM_TIMEOUT => {
+                self.requeue_and_read(now)
             }
-            Phase::Writing { since } if now.since(since) > ANSWER_LIMIT => self.take_back(now),
             _ => {}
         }
         self.waiting
-            .retain(|waiter| now.since(waiter.since) < WAIT_LIMIT);
+            .retain(|pending| now.since(pending.since) < OPERATION_TIMEOUT);
         self.advance(now, wall_ms);
         self.clear_old(wall_ms);
     }
 
+    /// Starts a read or a write if operations wait and neither is in progress.
     fn advance(&mut self, now: Time, wall_ms: u64) {
         if self.waiting.is_empty() {
             return;
@@ -291,39 +310,39 @@
 
     fn may_write(&self, now: Time) -> bool {
         let since = self.last_write.map(|last| now.since(last));
-        since.is_none_or(|since| since >= COMMIT_EVERY)
+        since.is_none_or(|since| since >= COMMIT_INTERVAL)
     }
 
-    /// Answers what the records answer and writes the rest together.
+    /// Answers the waiting operations that the known records decide, and writes the others together.
     fn write(&mut self, now: Time, wall_ms: u64) {
         if self.is_full() {
-            self.give_up();
+            self.refuse_claims();
             return;
         }
         let mut segment = self.open.segment.clone();
-        let mut fresh: HashMap<Name, Record> = HashMap::new();
+        let mut batch: HashMap<Name, Record> = HashMap::new();
         let mut bytes = judge::size(&segment);
         let mut stale = Vec::new();
-        for waiter in std::mem::take(&mut self.waiting) {
-            let known = |key: &Name| fresh.get(key).or(self.records.get(key)).cloned();
-            match judge::judge(&waiter.wish, known) {
+        for pending in std::mem::take(&mut self.waiting) {
+            let known = |key: &Name| batch.get(key).or(self.records.get(key)).cloned();
+            match judge::decide(&pending.operation, known) {
                 Step::Write(record) => {
                     bytes += judge::record_size(&record);
-                    fresh.insert(record.claim.key.clone(), record.clone());
+                    batch.insert(record.claim.key.clone(), record.clone());
                     segment.records.push(record);
-                    self.writing.push(waiter);
+                    self.writing.push(pending);
                 }
                 Step::Answer(verdict) => {
-                    self.answer(&waiter.from, waiter.wish.claimant(), verdict);
+                    self.answer(&pending.from, pending.operation.claimant(), verdict);
                 }
-                // Another home of the shard may have recorded the outcome since.
-                Step::InFlight(_) if now.since(self.synced) > FRESH => stale.push(waiter),
+                // Another home of the shard may have recorded the outcome in the meantime.
+                Step::InFlight(_) if now.since(self.synced) > FRESH => stale.push(pending),
                 Step::InFlight(claim) => {
                     let verdict = Verdict::Refused(Kind::KeyInFlight);
-                    self.answer(&waiter.from, waiter.wish.claimant(), verdict);
+                    self.answer(&pending.from, pending.operation.claimant(), verdict);
                     self.actions.push(Action::Inquire { claim });
                 }
-                Step::Confirm => self.confirm(&waiter.from, waiter.wish.claimant()),
+                Step::Confirm => self.confirm(&pending.from, pending.operation.claimant()),
             }
         }
         self.waiting.extend(stale);
@@ -334,7 +353,7 @@
             return;
         }
         judge::drop_superseded(&mut segment, wall_ms);
-        segment.sealed = bytes > SEGMENT_BYTES;
+        segment.sealed = bytes > SEAL_THRESHOLD_BYTES;
         self.writes += 1;
         self.last_write = Some(now);
         self.phase = Phase::Writing { since: now };
@@ -346,10 +365,10 @@
         });
     }
 
-    /// Empties segments whose keys are all past their life.
+    /// Empties sealed segments whose keys have all expired.
     ///
-    /// A clear that fails or whose answer is lost only makes a later version stale; the next
-    /// write then meets a conflict and reads again.
+    /// If clearing fails or its answer is lost, the known version of the object may be outdated. The
+    /// next write to it then ends in a conflict, and the segments are read again.
     fn clear_old(&mut self, wall_ms: u64) {
         if self.phase != Phase::Ready {
             return;
@@ -357,7 +376,7 @@
         let shard = self.number;
         let before = self.actions.len();
         for sealed in &mut self.sealed {
-            if sealed.empty || !judge::is_past(sealed.newest_ms, wall_ms) {
+            if sealed.empty || !judge::is_expired(sealed.newest_ms, wall_ms) {
                 continue;
             }
             sealed.empty = true;
@@ -373,11 +392,11 @@
         }
         if self.actions.len() > before {
             self.records
-                .retain(|_, record| !judge::is_past(record.claim.issued_ms, wall_ms));
+                .retain(|_, record| !judge::is_expired(record.claim.issued_ms, wall_ms));
         }
     }
 
-    /// Takes the new version of a segment that was emptied.
+    /// Handles the end of a write that emptied a segment: records the new version of its object.
     pub fn cleared(&mut self, number: u64, version: u64) {
         if slot_of(self.open.segment.number) != slot_of(number) {
             self.versions.insert(slot_of(number), version);
--- a/crates/alderglade-core/src/node/claims.rs
+++ b/crates/alderglade-core/src/node/claims.rs
@@ -172,7 +172,7 @@
         let Some(claim) = self.claim_of(id) else {
             return;
         };
-        let life = ledger::KEY_LIFE;
+        let life = ledger::KEY_LIFETIME;
         if self.dropped.len() >= MOST_DROPPED {
             self.dropped.retain(|_, at| self.now.since(*at) < life);
         }
@@ -201,7 +201,7 @@
         let limit = if self.is_draining() {
             SETTLE_LIMIT
         } else {
-            ledger::KEY_LIFE
+            ledger::KEY_LIFETIME
         };
         let now = self.now;
         self.settling
--- a/crates/alderglade-core/tests/testsuite/ledger.rs
+++ b/crates/alderglade-core/tests/testsuite/ledger.rs
@@ -1,4 +1,4 @@
-//! Several homes of one shard against one store: a key is granted once.
+//! Homes of one shard that share a store: a key is granted at most once.
 
 use crate::each_seed;
 use alderglade_core::Name;
@@ -11,9 +11,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const WALL: u64 = 1_800_000_000_000;
+const WALL_MS: u64 = 1_800_000_000_000;
 
-/// The store, as plain as it can be.
+/// A minimal object store with conditional writes.
 #[derive(Default)]
 struct Store {
     objects: BTreeMap<u64, Versioned>,
@@ -33,40 +33,44 @@
     }
 }
 
-/// What is on its way back to a home.
-enum Back {
+/// An answer of the store that a home has not received yet.
+enum Reply {
     Read(Option<Vec<Versioned>>),
     Wrote(Written),
     Cleared(u64, u64),
 }
 
-struct Bench {
+/// Several homes of shard 0 with one store; answers of the store are delivered one by one.
+struct Cluster {
     store: Store,
     homes: Vec<Shard>,
-    back: Vec<(usize, Back)>,
+    /// The outstanding answers, each with the index of its home.
+    replies: Vec<(usize, Reply)>,
     verdicts: Vec<(Id, Verdict)>,
-    wall: u64,
+    wall_ms: u64,
 }
 
-impl Bench {
-    fn new(homes: usize) -> Bench {
-        Bench {
+impl Cluster {
+    fn new(homes: usize) -> Cluster {
+        Cluster {
             store: Store::default(),
             homes: (0..homes).map(|_| Shard::new(0)).collect(),
-            back: Vec::new(),
+            replies: Vec::new(),
             verdicts: Vec::new(),
-            wall: WALL,
+            wall_ms: WALL_MS,
         }
     }
 
-    /// Carries out what a home wants; `lost` says whether a write's answer is lost.
-    fn work_off(&mut self, home: usize, lost: bool, down: bool) {
+    /// Performs the actions of a home.
+    ///
+    /// `lost` drops the results of writes that took effect; `down` makes reads and writes fail.
+    fn perform_actions(&mut self, home: usize, lost: bool, down: bool) {
         for action in self.homes[home].take_actions() {
             match action {
                 Action::Read { .. } => {
                     let segments = self.store.objects.values().cloned().collect();
-                    self.back
-                        .push((home, Back::Read((!down).then_some(segments))));
+                    self.replies
+                        .push((home, Reply::Read((!down).then_some(segments))));
                 }
                 Action::Write {
                     version, segment, ..
@@ -77,14 +81,14 @@
                         self.store.write(version, segment)
                     };
                     let written = if lost { Written::Unknown } else { written };
-                    self.back.push((home, Back::Wrote(written)));
+                    self.replies.push((home, Reply::Wrote(written)));
                 }
                 Action::Clear {
                     version, segment, ..
                 } => {
                     let number = segment.number;
                     if let Written::Done(version) = self.store.write(version, segment) {
-                        self.back.push((home, Back::Cleared(number, version)));
+                        self.replies.push((home, Reply::Cleared(number, version)));
                     }
                 }
                 Action::Answer {
@@ -95,23 +99,24 @@
         }
     }
 
+    /// Delivers the answer at index `at` to its home. Returns the index of the home.
     fn deliver(&mut self, at: usize, now: Time) -> usize {
-        let (home, back) = self.back.remove(at);
-        let (shard, wall) = (&mut self.homes[home], self.wall);
-        match back {
-            Back::Read(segments) => shard.read(segments, now, wall),
-            Back::Wrote(written) => shard.wrote(written, now, wall),
-            Back::Cleared(number, version) => shard.cleared(number, version),
+        let (home, reply) = self.replies.remove(at);
+        let (shard, wall_ms) = (&mut self.homes[home], self.wall_ms);
+        match reply {
+            Reply::Read(segments) => shard.read(segments, now, wall_ms),
+            Reply::Wrote(written) => shard.wrote(written, now, wall_ms),
+            Reply::Cleared(number, version) => shard.cleared(number, version),
         }
         home
     }
 }
 
-fn claim(serial: u64, key: u64, wall: u64) -> Claim {
+fn claim(serial: u64, key: u64, wall_ms: u64) -> Claim {
     Claim {
         key: format!("k{key}").into(),
         body: key,
-        issued_ms: wall,
+        issued_ms: wall_ms,
         claimant: Id {
             incarnation: 1,
             serial,
@@ -121,9 +126,9 @@
 }
 
 #[test]
-fn a_key_is_granted_to_one_request_however_homes_race() {
+fn racing_homes_grant_a_key_to_one_request_only() {
     each_seed(200, |u| {
-        let mut bench = Bench::new(3);
+        let mut cluster = Cluster::new(3);
         let from: Name = "h".into();
         let mut now = Time::from_millis(1_000);
         let mut claims: BTreeMap<Id, Claim> = BTreeMap::new();
@@ -133,29 +138,29 @@
             let (lost, down) = (u.ratio(1, 10)?, u.ratio(1, 20)?);
             match u.int_in_range(0..=5)? {
                 0 | 1 => {
-                    let claim = claim(serial, u.int_in_range(0..=4)?, bench.wall);
+                    let claim = claim(serial, u.int_in_range(0..=4)?, cluster.wall_ms);
                     claims.insert(claim.claimant, claim.clone());
-                    bench.homes[home].claim(&from, claim, now, bench.wall);
+                    cluster.homes[home].claim(&from, claim, now, cluster.wall_ms);
                 }
                 2 => {
-                    // A copy of an old claim arrives at another home.
+                    // A delayed copy of an old claim arrives at another home.
                     let old: Vec<&Claim> = claims.values().collect();
                     if let Some(claim) = old.get(u.int_in_range(0..=old.len().max(1) - 1)?) {
-                        bench.homes[home].claim(&from, (*claim).clone(), now, bench.wall);
+                        cluster.homes[home].claim(&from, (*claim).clone(), now, cluster.wall_ms);
                     }
                 }
-                3 => bench.homes[home].tick(now, bench.wall),
-                _ if !bench.back.is_empty() => {
-                    let at = u.int_in_range(0..=bench.back.len() - 1)?;
-                    let home = bench.deliver(at, now);
-                    bench.work_off(home, lost, down);
+                3 => cluster.homes[home].tick(now, cluster.wall_ms),
+                _ if !cluster.replies.is_empty() => {
+                    let at = u.int_in_range(0..=cluster.replies.len() - 1)?;
+                    let home = cluster.deliver(at, now);
+                    cluster.perform_actions(home, lost, down);
                 }
                 _ => {}
             }
-            bench.work_off(home, lost, down);
+            cluster.perform_actions(home, lost, down);
         }
         let mut granted: BTreeMap<Name, Id> = BTreeMap::new();
-        for (id, verdict) in &bench.verdicts {
+        for (id, verdict) in &cluster.verdicts {
             if *verdict == Verdict::Granted {
                 let key = claims[id].key.clone();
                 let other = granted.insert(key.clone(), *id);
@@ -169,30 +174,30 @@
     });
 }
 
-/// Runs one home until nothing is on its way.
-fn settle_down(bench: &mut Bench, home: usize, now: &mut Time) {
-    bench.work_off(home, false, false);
+/// Runs one home for a second, delivering all answers of the store.
+fn run_until_idle(cluster: &mut Cluster, home: usize, now: &mut Time) {
+    cluster.perform_actions(home, false, false);
     for _ in 0..10 {
         *now = *now + Duration::from_millis(100);
-        while !bench.back.is_empty() {
-            let home = bench.deliver(0, *now);
-            bench.work_off(home, false, false);
+        while !cluster.replies.is_empty() {
+            let home = cluster.deliver(0, *now);
+            cluster.perform_actions(home, false, false);
         }
-        bench.homes[home].tick(*now, bench.wall);
-        bench.work_off(home, false, false);
+        cluster.homes[home].tick(*now, cluster.wall_ms);
+        cluster.perform_actions(home, false, false);
     }
 }
 
 #[test]
-fn a_repeated_key_gets_the_first_ones_outcome_at_any_home() {
-    let mut bench = Bench::new(2);
+fn a_reused_key_gets_the_first_outcome_at_any_home() {
+    let mut cluster = Cluster::new(2);
     let from: Name = "h".into();
     let mut now = Time::from_millis(1_000);
-    let first = claim(1, 7, WALL);
-    bench.homes[0].claim(&from, first.clone(), now, WALL);
-    settle_down(&mut bench, 0, &mut now);
-    bench.homes[1].claim(&from, claim(2, 7, WALL), now, WALL);
-    settle_down(&mut bench, 1, &mut now);
+    let first = claim(1, 7, WALL_MS);
+    cluster.homes[0].claim(&from, first.clone(), now, WALL_MS);
+    run_until_idle(&mut cluster, 0, &mut now);
+    cluster.homes[1].claim(&from, claim(2, 7, WALL_MS), now, WALL_MS);
+    run_until_idle(&mut cluster, 1, &mut now);
     let outcome = Outcome::Answered {
         status: 200,
         body: Some("confirmed".into()),
@@ -201,13 +206,13 @@
         claim: first,
         outcome: outcome.clone(),
     };
-    bench.homes[0].settle(&from, settled, now, WALL);
-    settle_down(&mut bench, 0, &mut now);
-    // The second home's memory is old: it reads again before it says that the key is in flight.
+    cluster.homes[0].settle(&from, settled, now, WALL_MS);
+    run_until_idle(&mut cluster, 0, &mut now);
+    // The records of the second home are outdated: it reads again before it reports the key as in flight.
     now = now + Duration::from_secs(5);
-    bench.homes[1].claim(&from, claim(3, 7, WALL), now, WALL);
-    settle_down(&mut bench, 1, &mut now);
-    let verdicts: Vec<Verdict> = bench
+    cluster.homes[1].claim(&from, claim(3, 7, WALL_MS), now, WALL_MS);
+    run_until_idle(&mut cluster, 1, &mut now);
+    let verdicts: Vec<Verdict> = cluster
         .verdicts
         .iter()
         .map(|(_, verdict)| verdict.clone())
@@ -223,22 +228,22 @@
 }
 
 #[test]
-fn what_was_not_sent_frees_its_key_even_before_its_claim_arrives() {
-    let mut bench = Bench::new(1);
+fn a_not_sent_outcome_frees_its_key_even_before_its_claim_arrives() {
+    let mut cluster = Cluster::new(1);
     let from: Name = "h".into();
     let mut now = Time::from_millis(1_000);
-    let late = claim(1, 3, WALL);
+    let late = claim(1, 3, WALL_MS);
     let settled = Settled {
         claim: late.clone(),
         outcome: Outcome::NotSent,
     };
-    bench.homes[0].settle(&from, settled, now, WALL);
-    settle_down(&mut bench, 0, &mut now);
-    bench.homes[0].claim(&from, late, now, WALL);
-    settle_down(&mut bench, 0, &mut now);
-    bench.homes[0].claim(&from, claim(2, 3, WALL), now, WALL);
-    settle_down(&mut bench, 0, &mut now);
-    let verdicts: Vec<bool> = bench
+    cluster.homes[0].settle(&from, settled, now, WALL_MS);
+    run_until_idle(&mut cluster, 0, &mut now);
+    cluster.homes[0].claim(&from, late, now, WALL_MS);
+    run_until_idle(&mut cluster, 0, &mut now);
+    cluster.homes[0].claim(&from, claim(2, 3, WALL_MS), now, WALL_MS);
+    run_until_idle(&mut cluster, 0, &mut now);
+    let verdicts: Vec<bool> = cluster
         .verdicts
         .iter()
         .map(|(_, v)| *v == Verdict::Granted)
@@ -247,76 +252,85 @@
 }
 
 #[test]
-fn writes_are_bounded_whatever_the_rate() {
-    let mut bench = Bench::new(1);
+fn writes_are_bounded_at_any_request_rate() {
+    let mut cluster = Cluster::new(1);
     let from: Name = "h".into();
     let mut now = Time::from_millis(1_000);
     for serial in 0..20_000 {
         now = now + Duration::from_micros(500);
-        bench.homes[0].claim(&from, claim(serial, serial, WALL), now, WALL);
-        bench.homes[0].tick(now, WALL);
-        bench.work_off(0, false, false);
-        while !bench.back.is_empty() {
-            bench.deliver(0, now);
-            bench.work_off(0, false, false);
+        cluster.homes[0].claim(&from, claim(serial, serial, WALL_MS), now, WALL_MS);
+        cluster.homes[0].tick(now, WALL_MS);
+        cluster.perform_actions(0, false, false);
+        while !cluster.replies.is_empty() {
+            cluster.deliver(0, now);
+            cluster.perform_actions(0, false, false);
         }
     }
-    // Ten seconds at one write in 50 ms, however many claims come.
+    // Ten seconds with one write per 50 ms, independent of the number of claims.
     assert!(
-        bench.homes[0].writes() <= 201,
+        cluster.homes[0].writes() <= 201,
         "{}",
-        bench.homes[0].writes()
+        cluster.homes[0].writes()
+    );
+    assert!(
+        cluster.verdicts.len() > 19_000,
+        "{}",
+        cluster.verdicts.len()
     );
-    assert!(bench.verdicts.len() > 19_000, "{}", bench.verdicts.len());
 }
 
 #[test]
-fn the_ring_is_used_again_and_a_sleeper_cant_write_into_it() {
-    let mut bench = Bench::new(2);
+fn the_ring_is_reused_and_a_suspended_home_cant_overwrite_it() {
+    let mut cluster = Cluster::new(2);
     let from: Name = "h".into();
     let mut now = Time::from_millis(1_000);
-    bench.homes[1].claim(&from, claim(900_000, 900_000, WALL), now, WALL);
-    settle_down(&mut bench, 1, &mut now);
+    cluster.homes[1].claim(&from, claim(900_000, 900_000, WALL_MS), now, WALL_MS);
+    run_until_idle(&mut cluster, 1, &mut now);
     let mut serial = 0;
-    // Days of work at the other home, while the first one sleeps.
+    // Home 0 works for days while home 1 is suspended.
     for _ in 0..800 {
-        bench.wall += 900_000;
+        cluster.wall_ms += 900_000;
         for _ in 0..400 {
             serial += 1;
-            bench.homes[0].claim(&from, claim(serial, serial, bench.wall), now, bench.wall);
+            cluster.homes[0].claim(
+                &from,
+                claim(serial, serial, cluster.wall_ms),
+                now,
+                cluster.wall_ms,
+            );
         }
-        settle_down(&mut bench, 0, &mut now);
+        run_until_idle(&mut cluster, 0, &mut now);
     }
-    assert!(bench.store.objects.len() <= 256);
-    let highest = bench
+    assert!(cluster.store.objects.len() <= 256);
+    let highest = cluster
         .store
         .objects
         .values()
         .map(|object| object.segment.number)
         .max();
     assert!(highest > Some(256), "{highest:?}");
-    bench.verdicts.clear();
-    let wall = bench.wall;
-    bench.homes[1].claim(&from, claim(serial, serial, wall), now, wall);
-    bench.work_off(1, false, false);
-    settle_down(&mut bench, 1, &mut now);
-    let again = claim(999_999, serial, wall);
-    bench.homes[1].claim(&from, again, now, wall);
-    settle_down(&mut bench, 1, &mut now);
-    assert_eq!(bench.verdicts.len(), 2);
+    cluster.verdicts.clear();
+    let wall_ms = cluster.wall_ms;
+    cluster.homes[1].claim(&from, claim(serial, serial, wall_ms), now, wall_ms);
+    cluster.perform_actions(1, false, false);
+    run_until_idle(&mut cluster, 1, &mut now);
+    let again = claim(999_999, serial, wall_ms);
+    cluster.homes[1].claim(&from, again, now, wall_ms);
+    run_until_idle(&mut cluster, 1, &mut now);
+    assert_eq!(cluster.verdicts.len(), 2);
     let refused = Verdict::Refused(Kind::KeyInFlight);
-    assert_eq!(bench.verdicts[1].1, refused);
+    assert_eq!(cluster.verdicts[1].1, refused);
 }
 
 #[test]
-fn a_key_of_the_future_or_past_its_life_is_refused() {
-    let mut bench = Bench::new(1);
+fn a_key_from_the_future_or_an_expired_key_is_refused() {
+    let mut cluster = Cluster::new(1);
     let from: Name = "h".into();
     let now = Time::from_millis(1_000);
-    bench.homes[0].claim(&from, claim(1, 1, WALL + 3_600_000), now, WALL);
-    bench.homes[0].claim(&from, claim(2, 2, WALL - 3_600_000), now, WALL);
-    bench.work_off(0, false, false);
-    let verdicts: Vec<Verdict> = bench
+    cluster.homes[0].claim(&from, claim(1, 1, WALL_MS + 3_600_000), now, WALL_MS);
+    cluster.homes[0].claim(&from, claim(2, 2, WALL_MS - 3_600_000), now, WALL_MS);
+    cluster.perform_actions(0, false, false);
+    let verdicts: Vec<Verdict> = cluster
         .verdicts
         .iter()
         .map(|(_, verdict)| verdict.clone())
