--- a/crates/alderglade-core/src/node.rs
+++ b/crates/alderglade-core/src/node.rs
@@ -1,10 +1,21 @@
-//! One entry host's decisions: events go in, actions come out.
+//! The state machine of one entry host: it consumes events and produces actions.
 //!
-//! [`Node::handle`] is the only way in. It is driven by the daemon's control thread and, in
-//! scenarios, by a virtual clock. The parts: [`submit`](self) takes requests and finds them a
-//! cell, `progress` follows them to their answer, `tries` decides
-//! what the end of a try means, `homes` runs the cells whose home this host
-//! is, `peers` keeps the view of the other hosts, `claims` keeps the ledger, `stop` ends it all.
+//! [`Node::handle`] is the only entry point. The daemon's control thread calls it with the real
+//! time, simulated scenarios with a virtual clock.
+//!
+//! The *home* of a cell, a rate or a ledger shard is the entry host that currently manages it. All
+//! hosts derive it from their view of the live hosts, so two hosts may disagree for a while.
+//!
+//! Submodules:
+//!
+//! - `submit` accepts requests, applies rate limits and picks a cell.
+//! - `progress` follows a request from the queue of its cell to its answer.
+//! - `tries` handles the end of an attempt at a backend server and decides on retries.
+//! - `servers` picks a server for a call to a plain service.
+//! - `homes` runs the cells whose home this host is.
+//! - `peers` exchanges heartbeats, load and settings with other hosts.
+//! - `claims` records non-repeatable requests in the ledger.
+//! - `stop` drains the host.
 
 mod claims;
 mod homes;
@@ -35,43 +46,43 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What happened.
+/// An input to [`Node::handle`].
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A caller's request came.
+    /// A caller sent a request.
     Submit(Box<Submission>),
-    /// A request's first token came.
+    /// A backend server sent the first token of a request.
     FirstToken {
         /// The request.
         request: Id,
     },
-    /// A try at a backend server ended.
+    /// An attempt at a backend server ended.
     Ended {
         /// The request.
         request: Id,
-        /// The try.
+        /// The number of the attempt, counted from 1.
         attempt: u32,
-        /// How.
+        /// The result of the attempt.
         ended: Ended,
     },
-    /// A caller went away.
+    /// The caller disconnected or gave up.
     Gone {
         /// The request.
         request: Id,
     },
-    /// A message came from another host.
+    /// Another host sent a message.
     Deliver {
         /// The sender.
         from: Name,
         /// The message.
         message: Message,
     },
-    /// A host didn't take a message.
+    /// A message to another host could not be delivered.
     Silent {
         /// The host.
         host: Name,
     },
-    /// An engine reported its load.
+    /// An engine reported its load and its holdings.
     Report(Report),
     /// An engine answered a reservation.
     Reserved {
@@ -79,116 +90,116 @@
         engine: Name,
         /// The request.
         request: Id,
-        /// Whether it holds the memory now.
+        /// Whether the engine now holds the memory.
         agreed: bool,
     },
-    /// The platform's list of hosts came.
+    /// The platform published its list of hosts.
     Hosts {
         /// The entry hosts.
         cards: Vec<Card>,
         /// Backend servers that are leaving.
         leaving: Vec<Name>,
     },
-    /// Settings came from the platform.
+    /// The platform published a revision of the settings.
     Settings(Arc<Tree>),
-    /// The platform gave, or failed to give, a shard's segments.
+    /// A read of a ledger shard's segments from the platform ended.
     Segments {
         /// The shard.
         shard: u32,
-        /// The segments.
+        /// The segments, or `None` if the read failed.
         segments: Option<Vec<ledger::Versioned>>,
     },
-    /// A write of a segment ended.
+    /// A write of a ledger segment ended.
     SegmentWritten {
         /// The shard.
         shard: u32,
-        /// How.
+        /// The result of the write.
         written: ledger::Written,
     },
-    /// A segment was emptied.
+    /// An expired ledger segment was emptied.
     SegmentCleared {
         /// The shard.
         shard: u32,
         /// The segment's number.
         number: u64,
-        /// Its new version.
+        /// The version of its object after the write.
         version: u64,
     },
-    /// The host is to stop: take nothing new, finish what is in hand.
+    /// The host has to stop: reject new requests and finish those in flight.
     Drain,
-    /// Time passed.
+    /// Periodic call that drives timeouts and retransmissions.
     Tick,
 }
 
-/// How a try at a backend server ended.
+/// The result of an attempt at a backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Ended {
     /// The whole answer was delivered.
     Finished {
-        /// Tokens in the answer.
+        /// Number of tokens in the answer.
         tokens: u64,
-        /// What a repeated key is told.
+        /// The outcome to replay to later requests with the same idempotency key.
         outcome: ledger::Outcome,
     },
-    /// The backend said that it has no room and didn't start.
+    /// The backend reported that it has no room; it did not start the request.
     NoRoom,
-    /// The backend said that it is leaving and didn't start.
+    /// The backend reported that it is leaving; it did not start the request.
     Leaving,
-    /// The backend was not reached: nothing was sent.
+    /// The connection to the backend failed before anything was sent.
     Unreached,
-    /// Contact was lost after sending.
+    /// The connection was lost after the request was sent.
     Broke,
-    /// The backend said that it failed the request.
+    /// The backend reported that the request failed.
     Failed,
-    /// The caller's time ran out.
+    /// The caller's timeout expired.
     Expired,
 }
 
-/// What is to be done.
+/// An output of [`Node::handle`], to be carried out by the daemon.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send a message to another host.
     Send {
         /// The host.
         to: Name,
-        /// Its address.
+        /// The host's peer address.
         address: Name,
         /// The message.
         message: Message,
     },
-    /// Send a request to its engines.
+    /// Send a prompt to its engines.
     Start {
         /// The request.
         request: Id,
-        /// The try.
+        /// The number of the attempt, counted from 1.
         attempt: u32,
-        /// The engines, several for a gang.
+        /// The engines; more than one if a gang serves the prompt.
         engines: Vec<Name>,
     },
-    /// Send a call to a server.
+    /// Send a call to a server of a plain service.
     Call {
         /// The request.
         request: Id,
-        /// The try.
+        /// The number of the attempt, counted from 1.
         attempt: u32,
         /// The server.
         server: Name,
     },
-    /// Answer with a failure.
+    /// Answer the caller with an error.
     Refuse {
         /// The request.
         request: Id,
-        /// The answer.
+        /// The error and when to retry.
         refusal: Refusal,
     },
-    /// Answer with what the first request of the same key was answered.
+    /// Answer the caller with the outcome of an earlier request that had the same idempotency key.
     Replay {
         /// The request.
         request: Id,
-        /// How the first one ended.
+        /// The outcome of the earlier request.
         outcome: ledger::Outcome,
     },
-    /// Stop a request at its engines, and confirm that it stopped.
+    /// Cancel a request at its engines and wait until they confirm it.
     Cancel {
         /// The request.
         request: Id,
@@ -199,43 +210,43 @@
     Reserve {
         /// The engine.
         engine: Name,
-        /// The entry host that it is held for.
+        /// The entry host that the memory is held for.
         holder: Name,
         /// The request.
         request: Id,
-        /// Memory in tokens.
+        /// Amount of memory, in tokens of KV cache.
         tokens: u64,
     },
-    /// Free what an engine holds for a request.
+    /// Free the memory that an engine holds for a request.
     Free {
         /// The engine.
         engine: Name,
         /// The request.
         request: Id,
     },
-    /// Read or write the ledger.
+    /// Read or write a ledger segment in the platform.
     Ledger(ledger::Action),
 }
 
-/// How a node is set up.
+/// Configuration of a [`Node`].
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// The host's own card.
+    /// The identity that this host announces to its peers.
     pub card: Card,
-    /// How engines are picked.
+    /// Parameters of the choice of engines.
     pub placement: placement::Config,
-    /// A planned stop takes at most this long.
+    /// Maximum time that a planned stop takes.
     pub drain_limit: Duration,
 }
 
-/// A load digest and when it came.
+/// A load digest and the time it was received.
 #[derive(Debug, Clone)]
 struct Load {
     digest: Digest,
     at: Time,
 }
 
-/// One entry host's decisions.
+/// The state of one entry host.
 #[derive(Debug)]
 pub struct Node {
     placement: placement::Config,
@@ -249,26 +260,26 @@
     homes: BTreeMap<Key, Cell>,
     loads: HashMap<Key, Load>,
     inflight: Table,
-    shares: HashMap<Name, Share>,
-    loans: HashMap<Name, Loan>,
-    servers: servers::Book,
+    rate_shares: HashMap<Name, Share>,
+    rate_loans: HashMap<Name, Loan>,
+    servers: servers::ServerTable,
     shards: BTreeMap<u32, ledger::Shard>,
-    settling: HashMap<Id, claims::Settling>,
+    pending_outcomes: HashMap<Id, claims::PendingOutcome>,
     dropped: HashMap<Id, Time>,
-    leaving: peers::Leaving,
+    leaving: peers::LeavingServers,
     budget: Budget,
-    output: Output,
+    output_estimate: Output,
     slo: slo::Log,
     stop: Option<stop::Stop>,
-    beat: Option<Time>,
-    asked_load: Option<Time>,
-    asked_settings: Option<Time>,
-    local: VecDeque<Message>,
+    last_heartbeat: Option<Time>,
+    load_asked_at: Option<Time>,
+    settings_asked_at: Option<Time>,
+    loopback: VecDeque<Message>,
     actions: Vec<Action>,
 }
 
 impl Node {
-    /// Starts a node that knows no settings and no other host.
+    /// Creates a node without settings that knows no other host.
     pub fn new(config: Config, now: Time) -> Node {
         Node {
             placement: config.placement,
@@ -282,72 +293,74 @@
             homes: BTreeMap::new(),
             loads: HashMap::new(),
             inflight: Table::default(),
-            shares: HashMap::new(),
-            loans: HashMap::new(),
-            servers: servers::Book::default(),
+            rate_shares: HashMap::new(),
+            rate_loans: HashMap::new(),
+            servers: servers::ServerTable::default(),
             shards: BTreeMap::new(),
-            settling: HashMap::new(),
+            pending_outcomes: HashMap::new(),
             dropped: HashMap::new(),
-            leaving: peers::Leaving::default(),
+            leaving: peers::LeavingServers::default(),
             budget: Budget::default(),
-            output: Output::default(),
+            output_estimate: Output::default(),
             slo: slo::Log::default(),
             stop: None,
-            beat: None,
-            asked_load: None,
-            asked_settings: None,
-            local: VecDeque::new(),
+            last_heartbeat: None,
+            load_asked_at: None,
+            settings_asked_at: None,
+            loopback: VecDeque::new(),
             actions: Vec::new(),
         }
     }
 
-    /// Takes an event and gives the actions that follow from it.
+    /// Processes an event and returns the actions that result from it.
     ///
-    /// `wall_ms` is the wall clock in milliseconds of the Unix epoch; only the age of
-    /// idempotency keys and the minutes of reports are read from it.
+    /// `wall_ms` is the wall-clock time in milliseconds since the Unix epoch. It is used only for
+    /// the age of idempotency keys and for the per-minute counts of the objectives. Everything else
+    /// depends on `now` only.
     pub fn handle(&mut self, event: Event, now: Time, wall_ms: u64) -> Vec<Action> {
         self.now = now;
         self.wall_ms = wall_ms;
-        if let Some(stopped) = self.view.look(now) {
+        // While this process was suspended, it could not receive reports of its engines.
+        if let Some(suspended) = self.view.look(now) {
             self.homes
                 .values_mut()
-                .for_each(|cell| cell.forgive(stopped));
+                .for_each(|cell| cell.forgive(suspended));
         }
-        self.step(event);
-        while let Some(message) = self.local.pop_front() {
+        self.handle_event(event);
+        while let Some(message) = self.loopback.pop_front() {
             let own = self.own_name();
-            self.deliver(own, message);
+            self.handle_message(own, message);
         }
         std::mem::take(&mut self.actions)
     }
 
-    fn step(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Submit(submission) => self.submit(*submission),
-            Event::FirstToken { request } => self.first_token(request),
+            Event::FirstToken { request } => self.handle_first_token(request),
             Event::Ended {
                 request,
                 attempt,
                 ended,
-            } => self.ended(request, attempt, ended),
-            Event::Gone { request } => self.gone(request),
-            Event::Deliver { from, message } => self.deliver(from, message),
+            } => self.handle_attempt_end(request, attempt, ended),
+            Event::Gone { request } => self.handle_caller_gone(request),
+            Event::Deliver { from, message } => self.handle_message(from, message),
             Event::Silent { host } => self.view.note_silent(&host, self.now),
-            Event::Report(report) => self.report(&report),
+            Event::Report(report) => self.handle_report(&report),
             Event::Reserved {
                 engine,
                 request,
                 agreed,
-            } => self.reserved(&engine, request, agreed),
-            Event::Hosts { cards, leaving } => self.hosts(cards, leaving),
-            Event::Settings(tree) => self.take_settings(tree),
-            Event::Segments { shard, segments } => self.segments(shard, segments),
-            Event::SegmentWritten { shard, written } => self.segment_written(shard, written),
+            } => self.handle_reservation_answer(&engine, request, agreed),
+            Event::Hosts { cards, leaving } => self.handle_host_list(cards, leaving),
+            Event::Settings(tree) => self.apply_settings(tree),
+            Event::Segments { shard, segments } => self.handle_segments(shard, segments),
+            Event::SegmentWritten { shard, written } => self.handle_segment_written(shard, written),
             Event::SegmentCleared {
                 shard,
                 number,
                 version,
-            } => self.segment_cleared(shard, number, version),
+            } => self.handle_segment_cleared(shard, number, version),
             Event::Drain => self.drain(),
             Event::Tick => self.tick(),
         }
@@ -360,7 +373,10 @@
         self.tick_claims();
     }
 
-    /// Says whether the host may serve: it has settings, and none that a peer has outdated.
+    /// Returns whether the host may serve requests.
+    ///
+    /// It may if it is not draining, has settings, has joined its peers ([`View::has_joined`]), and
+    /// no peer has reported a newer revision of the settings.
     pub fn is_ready(&self) -> bool {
         !self.is_draining()
             && self.tree.revision > 0
@@ -368,43 +384,43 @@
             && self.tree.revision >= self.view.highest_revision()
     }
 
-    /// Gives the settings in force here.
+    /// Returns the settings in force on this host.
     pub fn tree(&self) -> &Arc<Tree> {
         &self.tree
     }
 
-    /// Gives the view of the other hosts.
+    /// Returns this host's view of the other hosts.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Gives what was counted against the objectives.
+    /// Returns the counts of requests that met or missed their objectives.
     pub fn slo(&self) -> &slo::Log {
         &self.slo
     }
 
-    /// Goes on counting from what an earlier process of this host published.
+    /// Restores the counts that an earlier process of this host published, to continue from them.
     pub fn restore_slo(&mut self, log: slo::Log) {
         self.slo = log;
         self.slo.tidy(self.wall_ms);
     }
 
-    /// Gives the cells whose home this host is.
+    /// Returns the cells whose home this host is.
     pub fn homes(&self) -> impl Iterator<Item = &Cell> {
         self.homes.values()
     }
 
-    /// Gives how many requests are in hand.
+    /// Returns the number of requests in flight.
     pub fn inflight(&self) -> usize {
         self.inflight.len()
     }
 
-    /// Gives how many writes the ledger's shards have asked for here.
+    /// Returns the number of writes that the ledger shards on this host have requested.
     pub fn ledger_writes(&self) -> u64 {
         self.shards.values().map(ledger::Shard::writes).sum()
     }
 
-    /// Names the engines whose reports this host has to fetch.
+    /// Returns the engines whose load reports this host has to fetch: those of its own cells.
     pub fn polled_engines(&self) -> BTreeSet<Name> {
         self.homes
             .keys()
@@ -414,25 +430,25 @@
             .collect()
     }
 
-    /// Says whether a request is in hand.
+    /// Returns whether a request is in flight.
     pub fn has(&self, request: Id) -> bool {
         self.inflight.get(request).is_some()
     }
 
-    /// Says whether this host is the one to give orders to the engines of its failure domain.
+    /// Returns whether this host is the one that sends orders to the engines of its failure domain.
     pub fn gives_orders(&self) -> bool {
         let home = self.view.home("orders", self.now);
         home == self.view.own().name
     }
 
-    /// Gives the last known load of the own domain's cells.
+    /// Returns the last known load of the cells in this host's failure domain, sorted by cell.
     pub fn near_loads(&self) -> Vec<Digest> {
         let own = &self.view.own().domain;
-        let near = self
+        let local = self
             .loads
             .values()
             .filter(|load| load.digest.cell.domain == *own);
-        let mut digests: Vec<Digest> = near.map(|load| load.digest.clone()).collect();
+        let mut digests: Vec<Digest> = local.map(|load| load.digest.clone()).collect();
         digests.sort_by(|a, b| a.cell.cmp(&b.cell));
         digests
     }
@@ -441,10 +457,13 @@
         self.view.own().name.clone()
     }
 
-    /// Sends a message; one to the host itself takes the short way.
+    /// Sends a message to a host.
+    ///
+    /// Messages to this host itself are queued and processed before [`Node::handle`] returns.
+    /// Messages to unknown hosts are dropped.
     fn send(&mut self, to: &Name, message: Message) {
         if *to == self.view.own().name {
-            self.local.push_back(message);
+            self.loopback.push_back(message);
             return;
         }
         let Some(card) = self.view.card(to) else {
@@ -461,18 +480,19 @@
         self.actions.push(Action::Refuse { request, refusal });
     }
 
-    /// Takes settings that are newer than those in force; older ones are dropped.
-    fn take_settings(&mut self, tree: Arc<Tree>) {
+    /// Applies settings if they are newer than those in force; older ones are ignored.
+    fn apply_settings(&mut self, tree: Arc<Tree>) {
         if tree.revision <= self.tree.revision {
             return;
         }
         self.view.own_mut().revision = tree.revision;
-        self.remember_patch(&tree);
+        self.record_patch(&tree);
         self.cells = crate::cell::split(&tree);
         self.tree = tree;
-        self.shares.clear();
-        self.loans.clear();
+        self.rate_shares.clear();
+        self.rate_loans.clear();
         self.set_home_engines();
-        self.beat = None;
+        // Announces the new revision at once.
+        self.last_heartbeat = None;
     }
 }
--- a/crates/alderglade-core/src/node/claims.rs
+++ b/crates/alderglade-core/src/node/claims.rs
@@ -1,6 +1,10 @@
-//! At most once: claims before sending, outcomes after, and the shards whose home this host is.
+//! At-most-once execution of non-repeatable requests.
+//!
+//! A request's claim is recorded in the ledger before the request is sent, and its outcome is recorded
+//! afterwards. This module is the client of the ledger, and it also runs the shards whose home this
+//! host is.
 
-use super::submit::COME_BACK;
+use super::submit::DEFAULT_RETRY_AFTER;
 use super::{Action, Node};
 use crate::Name;
 use crate::error::Kind;
@@ -11,24 +15,24 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// A home that doesn't answer a claim within this time is asked again, or another one.
-const CLAIM_AGAIN: Duration = Duration::from_millis(400);
-/// A claim without an answer for this long is given up.
-const CLAIM_LIMIT: Duration = Duration::from_secs(3);
-/// An outcome is sent again after this long without confirmation.
-const SETTLE_AGAIN: Duration = Duration::from_secs(1);
-/// A stopping host gives up on confirmations after this long.
-const SETTLE_LIMIT: Duration = Duration::from_secs(20);
+/// A claim without an answer is sent again after this time, to the current home of the shard.
+const CLAIM_RESEND_INTERVAL: Duration = Duration::from_millis(400);
+/// A request whose claim is not answered within this time is refused.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
+/// An outcome that is not confirmed within this time is sent again.
+const OUTCOME_RESEND_INTERVAL: Duration = Duration::from_secs(1);
+/// A draining host waits at most this long for the confirmation of an outcome.
+const DRAIN_CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Claims remembered that were given up before sending.
-const MOST_DROPPED: usize = 20_000;
+/// Maximum number of claims that are remembered as dropped before their request was sent.
+const MAX_DROPPED_CLAIMS: usize = 20_000;
 
-/// An outcome that is not confirmed yet.
+/// An outcome whose record the home of the shard has not confirmed yet.
 #[derive(Debug)]
-pub(super) struct Settling {
+pub(super) struct PendingOutcome {
     settled: Settled,
-    since: Time,
-    sent: Time,
+    created_at: Time,
+    sent_at: Time,
 }
 
 impl Node {
@@ -37,7 +41,7 @@
         self.view.fleet_home(&format!("ledger/{shard}"), self.now)
     }
 
-    /// Asks for the request's claim to be recorded before it is sent.
+    /// Sends the claim of a placed request to the ledger. The request is sent once the claim is granted.
     pub(super) fn start_claim(&mut self, id: Id, place: Place) {
         let Some(claim) = self.claim_of(id) else {
             return;
@@ -48,7 +52,7 @@
             sent: self.now,
             place,
         };
-        self.stage(id, stage);
+        self.set_stage(id, stage);
         self.send(&home, Message::Claim(claim));
     }
 
@@ -56,29 +60,31 @@
         self.inflight.get(id)?.submission.claim.clone()
     }
 
-    /// Asks again while there is no answer; another host if this one is silent.
+    /// Sends an unanswered claim again, or refuses the request after [`CLAIM_TIMEOUT`].
+    ///
+    /// A home in another domain is first marked as silent, so that the claim goes to another host.
     pub(super) fn tick_claiming(&mut self, id: Id, home: &Name, sent: Time) {
         let Some(entry) = self.inflight.get(id) else {
             return;
         };
-        if self.now.since(entry.staged) >= CLAIM_LIMIT {
+        if self.now.since(entry.staged) >= CLAIM_TIMEOUT {
             self.drop_claim(id, Kind::PlatformUnavailable);
             return;
         }
-        if self.now.since(sent) < CLAIM_AGAIN {
+        if self.now.since(sent) < CLAIM_RESEND_INTERVAL {
             return;
         }
-        let far = self
+        let other_domain = self
             .view
             .card(home)
             .is_some_and(|card| card.domain != self.view.own().domain);
-        if far {
+        if other_domain {
             self.view.note_silent(home, self.now);
         }
-        self.claim_again(id);
+        self.resend_claim(id);
     }
 
-    fn claim_again(&mut self, id: Id) {
+    fn resend_claim(&mut self, id: Id) {
         let Some(claim) = self.claim_of(id) else {
             return;
         };
@@ -88,17 +94,19 @@
             return;
         };
         if let Stage::Claiming {
-            home: asked, sent, ..
+            home: current,
+            sent,
+            ..
         } = &mut entry.stage
         {
-            *asked = home.clone();
+            *current = home.clone();
             *sent = now;
         }
         self.send(&home, Message::Claim(claim));
     }
 
-    /// Takes the answer to a claim. Only the first answer counts.
-    pub(super) fn claimed(&mut self, id: Id, verdict: Verdict) {
+    /// Handles the answer to a claim. Only the first answer counts.
+    pub(super) fn handle_verdict(&mut self, id: Id, verdict: Verdict) {
         let Some(entry) = self.inflight.get(id) else {
             return;
         };
@@ -109,14 +117,14 @@
             Verdict::Granted if self.now < entry.deadline => self.start(id, place),
             Verdict::Granted => self.drop_claim(id, Kind::ExpiredWaiting),
             Verdict::Replay(outcome) => self.replay(id, place, outcome),
-            // The claim may wait at another home as well, and be recorded there later.
+            // Another home may also hold a copy of the claim and record it later.
             Verdict::Refused(Kind::PlatformUnavailable) => {
                 self.drop_claim(id, Kind::PlatformUnavailable);
             }
             Verdict::Refused(kind) => {
-                self.remember_dropped(id);
+                self.record_dropped_claim(id);
                 self.release_place(id, place);
-                self.finish(id, Some(Refusal::new(kind, COME_BACK)));
+                self.finish(id, Some(Refusal::new(kind, DEFAULT_RETRY_AFTER)));
             }
         }
     }
@@ -131,7 +139,10 @@
         }
     }
 
-    /// Gives a claim up that may yet be recorded: it is marked as not sent.
+    /// Drops a claim and refuses its request with `kind`.
+    ///
+    /// The ledger may still record the claim, so the outcome [`Outcome::NotSent`] is sent to release
+    /// its key.
     fn drop_claim(&mut self, id: Id, kind: Kind) {
         let Some(entry) = self.inflight.get(id) else {
             return;
@@ -139,78 +150,85 @@
         if let Stage::Claiming { place, .. } = entry.stage.clone() {
             self.release_place(id, place);
         }
-        self.settle(id, Outcome::NotSent);
-        self.finish(id, Some(Refusal::new(kind, COME_BACK)));
+        self.record_outcome(id, Outcome::NotSent);
+        self.finish(id, Some(Refusal::new(kind, DEFAULT_RETRY_AFTER)));
     }
 
-    /// Has the outcome of a claimed request recorded, and sends it until that is confirmed.
-    pub(super) fn settle(&mut self, id: Id, outcome: Outcome) {
-        let Some(claim) = self.inflight.get(id).and_then(claim_sent) else {
+    /// Sends the outcome of a claimed request to the ledger, repeatedly until it is confirmed.
+    ///
+    /// Does nothing for a request without a claim, or whose claim was never sent.
+    pub(super) fn record_outcome(&mut self, id: Id, outcome: Outcome) {
+        let Some(claim) = self.inflight.get(id).and_then(possibly_recorded_claim) else {
             return;
         };
         if outcome == Outcome::NotSent {
-            self.remember_dropped(id);
+            self.record_dropped_claim(id);
         }
         let settled = Settled { claim, outcome };
-        self.send_settled(settled);
+        self.send_outcome(settled);
     }
 
-    fn send_settled(&mut self, settled: Settled) {
-        let settling = Settling {
+    fn send_outcome(&mut self, settled: Settled) {
+        let pending = PendingOutcome {
             settled: settled.clone(),
-            since: self.now,
-            sent: self.now,
+            created_at: self.now,
+            sent_at: self.now,
         };
-        self.settling.insert(settled.claim.claimant, settling);
+        self.pending_outcomes
+            .insert(settled.claim.claimant, pending);
         let home = self.ledger_home(&settled.claim.key);
         self.send(&home, Message::Settle(settled));
     }
 
-    /// Remembers that a claim was given up before its request was sent: a copy of it may still be
-    /// on its way to some home and be recorded later.
-    fn remember_dropped(&mut self, id: Id) {
+    /// Remembers that a claim was dropped before its request was sent.
+    ///
+    /// A copy of the claim may still be in transit to some home and be recorded later. That home then
+    /// inquires whether the request was sent.
+    fn record_dropped_claim(&mut self, id: Id) {
         let Some(claim) = self.claim_of(id) else {
             return;
         };
-        let life = ledger::KEY_LIFETIME;
-        if self.dropped.len() >= MOST_DROPPED {
-            self.dropped.retain(|_, at| self.now.since(*at) < life);
+        let lifetime = ledger::KEY_LIFETIME;
+        if self.dropped.len() >= MAX_DROPPED_CLAIMS {
+            self.dropped.retain(|_, at| self.now.since(*at) < lifetime);
         }
-        if self.dropped.len() < MOST_DROPPED {
+        if self.dropped.len() < MAX_DROPPED_CLAIMS {
             self.dropped.insert(claim.claimant, self.now);
         }
     }
 
-    /// Says of a claim that holds a key that its request was never sent, where that is certain.
-    pub(super) fn inquired(&mut self, claim: &Claim) {
+    /// Answers the inquiry of a home whether the request of a claim that holds a key was sent.
+    ///
+    /// Replies only if it is certain that the request was never sent.
+    pub(super) fn handle_inquiry(&mut self, claim: &Claim) {
         if self.dropped.contains_key(&claim.claimant) {
             let settled = Settled {
                 claim: claim.clone(),
                 outcome: Outcome::NotSent,
             };
-            self.send_settled(settled);
+            self.send_outcome(settled);
         }
     }
 
-    /// Takes the confirmation of an outcome.
-    pub(super) fn confirmed(&mut self, id: Id) {
-        self.settling.remove(&id);
+    /// Handles the confirmation that an outcome is recorded.
+    pub(super) fn handle_confirmation(&mut self, id: Id) {
+        self.pending_outcomes.remove(&id);
     }
 
-    fn tick_settling(&mut self) {
+    fn tick_outcomes(&mut self) {
         let limit = if self.is_draining() {
-            SETTLE_LIMIT
+            DRAIN_CONFIRMATION_TIMEOUT
         } else {
             ledger::KEY_LIFETIME
         };
         let now = self.now;
-        self.settling
-            .retain(|_, settling| now.since(settling.since) < limit);
+        self.pending_outcomes
+            .retain(|_, pending| now.since(pending.created_at) < limit);
         let mut due = Vec::new();
-        for settling in self.settling.values_mut() {
-            if now.since(settling.sent) >= SETTLE_AGAIN {
-                settling.sent = now;
-                due.push(settling.settled.clone());
+        for pending in self.pending_outcomes.values_mut() {
+            if now.since(pending.sent_at) >= OUTCOME_RESEND_INTERVAL {
+                pending.sent_at = now;
+                due.push(pending.settled.clone());
             }
         }
         for settled in due {
@@ -219,40 +237,45 @@
         }
     }
 
-    /// Takes a claim, as the home of its shard.
-    pub(super) fn take_claim(&mut self, from: &Name, claim: Claim) {
+    /// Handles a claim, as the home of its shard.
+    pub(super) fn handle_claim(&mut self, from: &Name, claim: Claim) {
         let shard = shard_of(&claim.key);
-        self.with_shard(shard, |shard, now, wall| {
-            shard.claim(from, claim, now, wall)
+        self.with_shard(shard, |shard, now, wall_ms| {
+            shard.claim(from, claim, now, wall_ms)
         });
     }
 
-    /// Takes an outcome, as the home of its shard.
-    pub(super) fn take_settle(&mut self, from: &Name, settled: Settled) {
+    /// Handles an outcome, as the home of its shard.
+    pub(super) fn handle_settle(&mut self, from: &Name, settled: Settled) {
         let shard = shard_of(&settled.claim.key);
-        self.with_shard(shard, |shard, now, wall| {
-            shard.settle(from, settled, now, wall)
+        self.with_shard(shard, |shard, now, wall_ms| {
+            shard.settle(from, settled, now, wall_ms)
         });
     }
 
-    pub(super) fn segments(&mut self, shard: u32, segments: Option<Vec<ledger::Versioned>>) {
-        self.with_shard(shard, |shard, now, wall| shard.read(segments, now, wall));
+    pub(super) fn handle_segments(&mut self, shard: u32, segments: Option<Vec<ledger::Versioned>>) {
+        self.with_shard(shard, |shard, now, wall_ms| {
+            shard.read(segments, now, wall_ms)
+        });
     }
 
-    pub(super) fn segment_written(&mut self, shard: u32, written: Written) {
-        self.with_shard(shard, |shard, now, wall| shard.wrote(written, now, wall));
+    pub(super) fn handle_segment_written(&mut self, shard: u32, written: Written) {
+        self.with_shard(shard, |shard, now, wall_ms| {
+            shard.wrote(written, now, wall_ms)
+        });
     }
 
-    pub(super) fn segment_cleared(&mut self, shard: u32, number: u64, version: u64) {
+    pub(super) fn handle_segment_cleared(&mut self, shard: u32, number: u64, version: u64) {
         self.with_shard(shard, |shard, _, _| shard.cleared(number, version));
     }
 
     pub(super) fn tick_claims(&mut self) {
         let numbers: Vec<u32> = self.shards.keys().copied().collect();
         for number in numbers {
-            self.with_shard(number, |shard, now, wall| shard.tick(now, wall));
+            self.with_shard(number, |shard, now, wall_ms| shard.tick(now, wall_ms));
         }
-        self.tick_settling();
+        self.tick_outcomes();
+        // A shard that has moved to another home is dropped once no operation waits in it.
         let (view, now) = (&self.view, self.now);
         self.shards.retain(|number, shard| {
             let home = view.fleet_home(&format!("ledger/{number}"), now);
@@ -260,6 +283,7 @@
         });
     }
 
+    /// Applies a change to a shard, which is created if needed, and performs the actions that result.
     fn with_shard(&mut self, number: u32, change: impl FnOnce(&mut Shard, Time, u64)) {
         let (now, wall_ms) = (self.now, self.wall_ms);
         let shard = self
@@ -268,11 +292,11 @@
             .or_insert_with(|| Shard::new(number));
         change(shard, now, wall_ms);
         for action in shard.take_actions() {
-            self.carry_out_ledger(action);
+            self.perform_ledger_action(action);
         }
     }
 
-    fn carry_out_ledger(&mut self, action: ledger::Action) {
+    fn perform_ledger_action(&mut self, action: ledger::Action) {
         match action {
             ledger::Action::Answer {
                 to,
@@ -291,8 +315,8 @@
     }
 }
 
-/// Gives the claim of a request that may have been recorded.
-fn claim_sent(entry: &Entry) -> Option<Claim> {
-    let asked = entry.sent || matches!(entry.stage, Stage::Claiming { .. });
-    entry.submission.claim.clone().filter(|_| asked)
+/// Returns the claim of a request if it was sent to the ledger and so may have been recorded.
+fn possibly_recorded_claim(entry: &Entry) -> Option<Claim> {
+    let claim_sent = entry.sent || matches!(entry.stage, Stage::Claiming { .. });
+    entry.submission.claim.clone().filter(|_| claim_sent)
 }
--- a/crates/alderglade-core/src/node/homes.rs
+++ b/crates/alderglade-core/src/node/homes.rs
@@ -1,4 +1,4 @@
-//! Running the cells whose home this host is.
+//! Runs the cells whose home this host is.
 
 use super::{Action, Node};
 use crate::Name;
@@ -8,16 +8,18 @@
 use crate::request::{Id, Ticket};
 
 impl Node {
-    /// Takes up the cells that this host is home of, and lets idle ones go that have moved.
+    /// Opens the cells whose home this host has become, and closes those that have moved elsewhere.
+    ///
+    /// A cell that has moved stays open until no request waits in it.
     pub(super) fn tick_homes(&mut self) {
         let domain = self.view.own().domain.clone();
-        let near: Vec<Key> = self
+        let local: Vec<Key> = self
             .cells
             .keys()
             .filter(|key| key.domain == domain)
             .cloned()
             .collect();
-        for key in near {
+        for key in local {
             if self.is_home(&key) {
                 self.open_cell(&key);
             }
@@ -48,6 +50,7 @@
         }
     }
 
+    /// Opens a cell unless it is open. Returns whether the settings have such a cell.
     fn open_cell(&mut self, key: &Key) -> bool {
         if self.homes.contains_key(key) {
             return true;
@@ -65,7 +68,9 @@
         true
     }
 
-    /// Gives each cell the engines of new settings; cells that are gone give up their waiters.
+    /// Updates the engines of the open cells after a change of the settings.
+    ///
+    /// A cell that the settings no longer have is dropped, with the requests that wait in it.
     pub(super) fn set_home_engines(&mut self) {
         let keys: Vec<Key> = self.homes.keys().cloned().collect();
         for key in keys {
@@ -82,7 +87,7 @@
         }
     }
 
-    /// Does something with a cell and carries out what follows.
+    /// Applies a change to an open cell and performs the actions that result.
     pub(super) fn with_cell(
         &mut self,
         key: &Key,
@@ -94,11 +99,11 @@
         };
         change(cell, now);
         for action in cell.take_actions() {
-            self.carry_out(key, action);
+            self.perform_cell_action(key, action);
         }
     }
 
-    fn carry_out(&mut self, key: &Key, action: cell::Action) {
+    fn perform_cell_action(&mut self, key: &Key, action: cell::Action) {
         let cell = key.clone();
         match action {
             cell::Action::Queued {
@@ -163,26 +168,28 @@
         }
     }
 
-    /// Takes a request for a cell. A host that doesn't believe to be its home takes it all the
-    /// same: views differ for a while, and the sender follows the home.
-    pub(super) fn take_enqueue(&mut self, from: Name, cell: Key, ticket: Ticket) {
-        let ours = cell.domain == self.view.own().domain;
-        if ours && self.open_cell(&cell) {
+    /// Puts another host's request into the queue of a cell.
+    ///
+    /// This host does so even if it doesn't consider itself the home of the cell: views of the
+    /// live hosts differ for a while, and the sender moves the request once its view changes.
+    pub(super) fn handle_enqueue(&mut self, from: Name, cell: Key, ticket: Ticket) {
+        let same_domain = cell.domain == self.view.own().domain;
+        if same_domain && self.open_cell(&cell) {
             self.with_cell(&cell, |cell, now| cell.enqueue(&from, ticket, now));
         }
     }
 
-    pub(super) fn report(&mut self, report: &Report) {
+    pub(super) fn handle_report(&mut self, report: &Report) {
         if report.leaving {
             self.leaving
-                .note(std::slice::from_ref(&report.engine), self.now);
+                .record_report(std::slice::from_ref(&report.engine), self.now);
         }
         if let Some(key) = self.cell_of(&report.engine) {
             self.with_cell(&key, |cell, now| cell.report(report, now));
         }
     }
 
-    pub(super) fn reserved(&mut self, engine: &Name, request: Id, agreed: bool) {
+    pub(super) fn handle_reservation_answer(&mut self, engine: &Name, request: Id, agreed: bool) {
         if let Some(key) = self.cell_of(engine) {
             self.with_cell(&key, |cell, now| {
                 cell.reserved(engine, request, agreed, now)
@@ -190,6 +197,7 @@
         }
     }
 
+    /// Returns the open cell that an engine belongs to.
     fn cell_of(&self, engine: &Name) -> Option<Key> {
         let found = self.homes.keys().find(|key| {
             let names = self.cells.get(*key);
--- a/crates/alderglade-core/src/node/peers.rs
+++ b/crates/alderglade-core/src/node/peers.rs
@@ -1,6 +1,6 @@
-//! Other hosts: heartbeats, who is leaving, whose settings are newer, who is loaded.
+//! Communication with other hosts: heartbeats, leaving backend servers, settings and load.
 
-use super::submit::LOAD_LIFE;
+use super::submit::LOAD_LIFETIME;
 use super::{Load, Node};
 use crate::Name;
 use crate::cell::{Cell, Digest, Key};
@@ -14,42 +14,49 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A word that a server is leaving counts this long unless it is repeated.
-const LEAVING_LIFE: Duration = Duration::from_secs(60);
-/// Patches kept for peers that are behind.
-const MOST_PATCHES: usize = 32;
-/// Settings are asked for again after this long.
-const SETTINGS_ANSWER: Duration = Duration::from_millis(500);
+/// A report that a backend server is leaving is valid for this long unless it is renewed.
+const LEAVING_REPORT_LIFETIME: Duration = Duration::from_secs(60);
+/// Maximum number of patches kept for peers whose settings are older.
+const MAX_PATCHES: usize = 32;
+/// A request for newer settings without an answer is sent again after this time.
+const SETTINGS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Backend servers that are leaving, and who said so.
+/// Backend servers that are leaving, by the source of that information.
 #[derive(Debug, Default)]
-pub(super) struct Leaving {
+pub(super) struct LeavingServers {
+    /// From the platform's list of hosts.
     listed: Vec<Name>,
-    told: BTreeMap<Name, Time>,
-    heard: BTreeMap<Name, Time>,
+    /// From the servers themselves, with the time of the last report.
+    reported: BTreeMap<Name, Time>,
+    /// From other entry hosts, with the time of the last message.
+    relayed: BTreeMap<Name, Time>,
 }
 
-impl Leaving {
-    /// Takes the backend's own word.
-    pub(super) fn note(&mut self, names: &[Name], now: Time) {
+impl LeavingServers {
+    /// Records that servers reported themselves as leaving.
+    pub(super) fn record_report(&mut self, names: &[Name], now: Time) {
         for name in names {
-            self.told.insert(name.clone(), now);
+            self.reported.insert(name.clone(), now);
         }
     }
 
-    /// Forgets the word on a server that has come back as another incarnation.
+    /// Removes the reports on a server that has returned as another incarnation.
     fn forget(&mut self, name: &Name) {
-        self.told.remove(name);
-        self.heard.remove(name);
+        self.reported.remove(name);
+        self.relayed.remove(name);
     }
 
-    fn hear(&mut self, names: &[Name], now: Time) {
+    /// Records that another entry host reported servers as leaving.
+    fn record_relayed(&mut self, names: &[Name], now: Time) {
         for name in names {
-            self.heard.insert(name.clone(), now);
+            self.relayed.insert(name.clone(), now);
         }
     }
 
-    fn list(&mut self, names: Vec<Name>) {
+    /// Replaces the platform's list.
+    ///
+    /// A server that is no longer listed has returned; older reports on it are dropped.
+    fn set_listed(&mut self, names: Vec<Name>) {
         let returned: Vec<Name> = self
             .listed
             .iter()
@@ -60,36 +67,38 @@
         self.listed = names;
     }
 
-    /// What this host knows at first hand, to be passed on.
+    /// Returns the servers that the platform or the servers themselves reported as leaving.
+    ///
+    /// Only these are passed on in heartbeats, so that hosts don't renew each other's reports.
     fn first_hand(&self, now: Time) -> Vec<Name> {
-        let told = self
-            .told
+        let reported = self
+            .reported
             .iter()
-            .filter(|(_, at)| now.since(**at) < LEAVING_LIFE);
-        let mut names: Vec<Name> = told.map(|(name, _)| name.clone()).collect();
+            .filter(|(_, at)| now.since(**at) < LEAVING_REPORT_LIFETIME);
+        let mut names: Vec<Name> = reported.map(|(name, _)| name.clone()).collect();
         names.extend(self.listed.iter().cloned());
         names.sort();
         names.dedup();
         names
     }
 
-    /// All servers that are leaving by anybody's word.
+    /// Returns the servers that any source reports as leaving; may contain duplicates.
     pub(super) fn names(&self, now: Time) -> Vec<Name> {
         let mut names = self.first_hand(now);
-        let heard = self
-            .heard
+        let relayed = self
+            .relayed
             .iter()
-            .filter(|(_, at)| now.since(**at) < LEAVING_LIFE);
-        names.extend(heard.map(|(name, _)| name.clone()));
+            .filter(|(_, at)| now.since(**at) < LEAVING_REPORT_LIFETIME);
+        names.extend(relayed.map(|(name, _)| name.clone()));
         names
     }
 
-    /// Says whether a server is leaving by anybody's word.
+    /// Returns whether any source reports a server as leaving.
     pub(super) fn contains(&self, name: &Name, now: Time) -> bool {
-        let fresh = |at: &Time| now.since(*at) < LEAVING_LIFE;
+        let fresh = |at: &Time| now.since(*at) < LEAVING_REPORT_LIFETIME;
         self.listed.contains(name)
-            || self.told.get(name).is_some_and(fresh)
-            || self.heard.get(name).is_some_and(fresh)
+            || self.reported.get(name).is_some_and(fresh)
+            || self.relayed.get(name).is_some_and(fresh)
     }
 }
 
@@ -97,16 +106,16 @@
     pub(super) fn tick_peers(&mut self) {
         for change in self.view.tick(self.now) {
             match change {
-                Change::Joined(host) => self.resend_to(&host),
+                Change::Joined(host) => self.resend_waiting(&host),
                 Change::Died(host) => self.host_died(&host),
             }
         }
-        let due = |beat: Time| self.now.since(beat) >= self.view.interval();
-        if self.beat.is_none_or(due) {
-            self.beat = Some(self.now);
+        let due = |sent: Time| self.now.since(sent) >= self.view.interval();
+        if self.last_heartbeat.is_none_or(due) {
+            self.last_heartbeat = Some(self.now);
             self.send_heartbeats();
         }
-        self.want_settings();
+        self.request_newer_settings();
     }
 
     fn host_died(&mut self, host: &Name) {
@@ -123,7 +132,7 @@
             leaving: self.leaving.first_hand(self.now),
         };
         for digest in &heartbeat.cells {
-            self.note_load(digest.clone());
+            self.record_load(digest.clone());
         }
         let peers: Vec<Name> = self
             .view
@@ -143,12 +152,12 @@
             .collect()
     }
 
-    fn note_load(&mut self, digest: Digest) {
+    fn record_load(&mut self, digest: Digest) {
         let at = self.now;
         self.loads.insert(digest.cell.clone(), Load { digest, at });
     }
 
-    fn heartbeat(&mut self, heartbeat: Heartbeat) {
+    fn handle_heartbeat(&mut self, heartbeat: Heartbeat) {
         let same_domain = heartbeat.card.domain == self.view.own().domain;
         let sender = heartbeat.card.name.clone();
         let known = self
@@ -160,16 +169,17 @@
             return;
         }
         if !known {
-            self.beat = None;
+            // Introduces this host to the new one at once.
+            self.last_heartbeat = None;
         }
         for digest in heartbeat.cells {
-            self.note_load(digest);
+            self.record_load(digest);
         }
-        self.hear_leaving(&heartbeat.leaving);
+        self.apply_leaving_notice(&heartbeat.leaving);
     }
 
-    fn hear_leaving(&mut self, names: &[Name]) {
-        self.leaving.hear(names, self.now);
+    fn apply_leaving_notice(&mut self, names: &[Name]) {
+        self.leaving.record_relayed(names, self.now);
         for name in names {
             self.homes
                 .values_mut()
@@ -177,9 +187,9 @@
         }
     }
 
-    pub(super) fn hosts(&mut self, cards: Vec<Card>, leaving: Vec<Name>) {
+    pub(super) fn handle_host_list(&mut self, cards: Vec<Card>, leaving: Vec<Name>) {
         self.view.seed(cards);
-        self.leaving.list(leaving);
+        self.leaving.set_listed(leaving);
         for name in self.leaving.names(self.now) {
             self.homes
                 .values_mut()
@@ -187,35 +197,37 @@
         }
     }
 
-    /// Asks a peer for its settings if they are newer.
-    fn want_settings(&mut self) {
-        let due = |asked: Time| self.now.since(asked) >= SETTINGS_ANSWER;
-        if !self.asked_settings.is_none_or(due) {
+    /// Requests the settings of a peer that has a newer revision, if any.
+    fn request_newer_settings(&mut self) {
+        let due = |asked: Time| self.now.since(asked) >= SETTINGS_TIMEOUT;
+        if !self.settings_asked_at.is_none_or(due) {
             return;
         }
         let revision = self.tree.revision;
         if let Some(peer) = self.view.newer_peer(revision, self.now) {
-            self.asked_settings = Some(self.now);
+            self.settings_asked_at = Some(self.now);
             self.send(&peer, Message::WantSettings { revision });
         }
     }
 
-    /// Keeps what leads to a new revision, for peers that are a little behind.
+    /// Keeps the patch from the settings in force to `newer`, for peers that are a few revisions behind.
     ///
-    /// The first settings of a host lead from nothing to everything; that is no patch to keep.
-    pub(super) fn remember_patch(&mut self, newer: &Tree) {
+    /// Keeps none for the first settings of a host: that patch would be the whole tree.
+    pub(super) fn record_patch(&mut self, newer: &Tree) {
         if self.tree.revision == 0 {
             return;
         }
         self.patches
             .push_back(Arc::new(Patch::between(&self.tree, newer)));
-        if self.patches.len() > MOST_PATCHES {
+        if self.patches.len() > MAX_PATCHES {
             self.patches.pop_front();
         }
     }
 
-    /// Gives a peer what it lacks: a few patches, or the whole tree where they don't reach back.
-    fn give_settings(&mut self, from: &Name, revision: u64) {
+    /// Sends a peer the settings that are newer than its `revision`.
+    ///
+    /// Sends the kept patches if they start at that revision, otherwise the whole tree.
+    fn send_settings(&mut self, from: &Name, revision: u64) {
         if self.tree.revision <= revision {
             return;
         }
@@ -232,59 +244,63 @@
         self.send(from, message);
     }
 
-    fn take_patches(&mut self, patches: &[Arc<Patch>]) {
+    /// Applies the patches of a peer in order. Those that don't follow on the settings in force are skipped.
+    fn apply_patches(&mut self, patches: &[Arc<Patch>]) {
         let mut newer = None;
         for patch in patches {
             let base = newer.as_ref().unwrap_or(self.tree.as_ref());
             newer = patch.apply(base).or(newer);
         }
         if let Some(tree) = newer {
-            self.take_settings(Arc::new(tree));
+            self.apply_settings(Arc::new(tree));
         }
     }
 
-    fn tell_load(&mut self, from: &Name) {
+    /// Sends the fresh load digests of this host's domain.
+    fn send_load(&mut self, from: &Name) {
         let own = self.view.own().domain.clone();
         let now = self.now;
-        let fresh = |load: &&Load| load.digest.cell.domain == own && now.since(load.at) < LOAD_LIFE;
+        let fresh =
+            |load: &&Load| load.digest.cell.domain == own && now.since(load.at) < LOAD_LIFETIME;
         let cells = self.loads.values().filter(fresh);
         let cells = cells.map(|load| load.digest.clone()).collect();
         self.send(from, Message::Load { cells });
     }
 
-    pub(super) fn has_fresh_far_load(&self, request: Id) -> bool {
+    /// Returns whether every other domain has sent load since the request entered its current stage.
+    pub(super) fn has_load_of_all_remote_domains(&self, request: Id) -> bool {
         let Some(entry) = self.inflight.get(request) else {
             return false;
         };
-        let asked = entry.staged;
+        let staged = entry.staged;
         let own = &self.view.own().domain;
         let fresh = self
             .loads
             .values()
-            .filter(|load| load.digest.cell.domain != *own && load.at >= asked);
+            .filter(|load| load.digest.cell.domain != *own && load.at >= staged);
         let mut domains: Vec<&Name> = fresh.map(|load| &load.digest.cell.domain).collect();
         domains.sort();
         domains.dedup();
         domains.len() >= self.view.far_domains().len()
     }
 
-    pub(super) fn deliver(&mut self, from: Name, message: Message) {
+    pub(super) fn handle_message(&mut self, from: Name, message: Message) {
         match message {
-            Message::Heartbeat(heartbeat) => self.heartbeat(heartbeat),
-            Message::Enqueue { cell, ticket } => self.take_enqueue(from, cell, ticket),
-            Message::Queued { request, attempt } => self.note_queued(&from, request, attempt),
+            Message::Heartbeat(heartbeat) => self.handle_heartbeat(heartbeat),
+            Message::Enqueue { cell, ticket } => self.handle_enqueue(from, cell, ticket),
+            Message::Queued { request, attempt } => self.mark_queued(&from, request, attempt),
             Message::Grant {
                 cell,
                 request,
                 attempt,
                 engines,
-            } => self.granted(&from, cell, request, attempt, engines),
+            } => self.handle_grant(&from, cell, request, attempt, engines),
             Message::Refused {
                 cell,
                 request,
                 attempt,
                 refusal,
-            } => self.refused(cell, request, attempt, refusal),
+            } => self.handle_cell_refusal(cell, request, attempt, refusal),
             Message::Withdraw { cell, request } => {
                 self.with_cell(&cell, |cell, _| cell.withdraw(request));
             }
@@ -298,36 +314,39 @@
                 cell,
                 engine,
                 request,
-            } => self.verify(&from, cell, engine, request),
+            } => self.handle_verify(&from, cell, engine, request),
             Message::Disown {
                 cell,
                 engine,
                 request,
             } => self.with_cell(&cell, |cell, now| cell.disown(&engine, request, now)),
-            Message::Lend { workspace, cost } => self.lend(&from, workspace, cost),
-            Message::Lent { workspace, slice } => self.lent(&workspace, slice),
+            Message::Lend { workspace, cost } => self.handle_lend(&from, workspace, cost),
+            Message::Lent { workspace, slice } => self.handle_lent(&workspace, slice),
             Message::Unlent {
                 workspace,
                 retry_after,
-            } => self.unlent(&workspace, retry_after),
-            Message::AskLoad => self.tell_load(&from),
+            } => self.handle_unlent(&workspace, retry_after),
+            Message::AskLoad => self.send_load(&from),
             Message::Load { cells } => {
-                cells.into_iter().for_each(|digest| self.note_load(digest));
-                self.place_asking();
+                cells
+                    .into_iter()
+                    .for_each(|digest| self.record_load(digest));
+                self.place_load_waiters();
             }
-            Message::Claim(claim) => self.take_claim(&from, claim),
-            Message::Claimed { request, verdict } => self.claimed(request, verdict),
-            Message::Inquire(claim) => self.inquired(&claim),
-            Message::Settle(settled) => self.take_settle(&from, settled),
-            Message::Settled { request } => self.confirmed(request),
-            Message::WantSettings { revision } => self.give_settings(&from, revision),
-            Message::Settings(tree) => self.take_settings(tree),
-            Message::Patches(patches) => self.take_patches(&patches),
+            Message::Claim(claim) => self.handle_claim(&from, claim),
+            Message::Claimed { request, verdict } => self.handle_verdict(request, verdict),
+            Message::Inquire(claim) => self.handle_inquiry(&claim),
+            Message::Settle(settled) => self.handle_settle(&from, settled),
+            Message::Settled { request } => self.handle_confirmation(request),
+            Message::WantSettings { revision } => self.send_settings(&from, revision),
+            Message::Settings(tree) => self.apply_settings(tree),
+            Message::Patches(patches) => self.apply_patches(&patches),
         }
     }
 
-    fn verify(&mut self, from: &Name, cell: Key, engine: Name, request: Id) {
-        if self.wants(request, &engine) {
+    /// Answers a home that asks whether an engine should still hold memory for a request: only "no" is sent.
+    fn handle_verify(&mut self, from: &Name, cell: Key, engine: Name, request: Id) {
+        if self.uses_engine(request, &engine) {
             return;
         }
         let message = Message::Disown {
--- a/crates/alderglade-core/src/node/progress.rs
+++ b/crates/alderglade-core/src/node/progress.rs
@@ -1,6 +1,6 @@
-//! Following a request from its cell's queue to its answer.
+//! Follows a request from the queue of its cell to its answer.
 
-use super::submit::{COME_BACK, LOAD_ANSWER};
+use super::submit::{DEFAULT_RETRY_AFTER, LOAD_TIMEOUT};
 use super::{Action, Node, stop};
 use crate::Name;
 use crate::cell::{End, Key};
@@ -12,25 +12,29 @@
 use crate::slo::Sample;
 use std::time::Duration;
 
-/// A home that doesn't confirm a queued request within this time is asked again.
-const QUEUED_ANSWER: Duration = Duration::from_millis(300);
-/// A queued request is sent again this often: the home repeats a grant whose news was lost.
-const QUEUED_AGAIN: Duration = Duration::from_secs(2);
+/// A request that a home has not confirmed as queued is sent again after this time.
+const QUEUED_CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(300);
+/// A queued request is sent again at this interval, because the message that granted it may have been
+/// lost: the home then repeats the grant.
+const QUEUED_RESEND_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Node {
-    /// Notes that a home has the request in its queue.
-    pub(super) fn note_queued(&mut self, from: &Name, request: Id, attempt: u32) {
+    /// Records that a home has the request in its queue.
+    pub(super) fn mark_queued(&mut self, from: &Name, request: Id, attempt: u32) {
         let Some(entry) = self.inflight.get_mut(request) else {
             return;
         };
-        let same = entry.submission.ticket.attempt == attempt;
+        let current = entry.submission.ticket.attempt == attempt;
         if let Stage::Waiting { home, queued, .. } = &mut entry.stage {
-            *queued |= same && home == from;
+            *queued |= current && home == from;
         }
     }
 
-    /// Takes a grant; one that is not waited for is declined, so that its engines go to others.
-    pub(super) fn granted(
+    /// Handles a grant.
+    ///
+    /// Declines it if the request doesn't wait for it, so that the home can give the engines to other
+    /// requests. A repeated grant of engines that the request already holds is ignored.
+    pub(super) fn handle_grant(
         &mut self,
         from: &Name,
         cell: Key,
@@ -38,7 +42,7 @@
         attempt: u32,
         engines: Vec<Name>,
     ) {
-        if !self.waits_for(request, attempt, &cell) {
+        if !self.is_waiting_for(request, attempt, &cell) {
             let running = self.engines_of(request) == engines;
             if !running {
                 let end = End::Declined;
@@ -51,10 +55,11 @@
             home: from.clone(),
             engines,
         };
-        self.placed(request, place);
+        self.start_placed(request, place);
     }
 
-    fn waits_for(&self, request: Id, attempt: u32, cell: &Key) -> bool {
+    /// Returns whether this attempt of a request waits in the queue of `cell` and has time left.
+    fn is_waiting_for(&self, request: Id, attempt: u32, cell: &Key) -> bool {
         let Some(entry) = self.inflight.get(request) else {
             return false;
         };
@@ -62,30 +67,32 @@
         here && entry.submission.ticket.attempt == attempt && self.now < entry.deadline
     }
 
-    /// Gives the engines that a request in hand holds.
+    /// Returns the engines that a request holds; none if it is not in flight here.
     fn engines_of(&self, request: Id) -> &[Name] {
         self.inflight.get(request).map_or(&[], Entry::engines)
     }
 
-    /// Goes on with a request that has its engines or its server.
-    pub(super) fn placed(&mut self, request: Id, place: Place) {
-        let claims = self
+    /// Continues a request that has been given its engines or its server.
+    ///
+    /// A request with a claim has to be recorded in the ledger before it is sent.
+    pub(super) fn start_placed(&mut self, request: Id, place: Place) {
+        let has_claim = self
             .inflight
             .get(request)
             .is_some_and(|entry| entry.submission.claim.is_some());
-        if claims {
+        if has_claim {
             self.start_claim(request, place);
         } else {
             self.start(request, place);
         }
     }
 
-    /// Has the request sent to where it is placed.
+    /// Sends the request to its engines or its server.
     pub(super) fn start(&mut self, request: Id, place: Place) {
         let stage = Stage::Running {
             place: place.clone(),
         };
-        self.stage(request, stage);
+        self.set_stage(request, stage);
         self.inflight.set_sent(request, true);
         let Some(entry) = self.inflight.get_mut(request) else {
             return;
@@ -106,9 +113,15 @@
         });
     }
 
-    /// Takes a home's refusal: other cells and domains are asked before the caller hears of it.
-    pub(super) fn refused(&mut self, cell: Key, request: Id, attempt: u32, refusal: Refusal) {
-        if !self.waits_for(request, attempt, &cell) {
+    /// Handles the refusal of a home. Other cells and domains are tried before the caller is refused.
+    pub(super) fn handle_cell_refusal(
+        &mut self,
+        cell: Key,
+        request: Id,
+        attempt: u32,
+        refusal: Refusal,
+    ) {
+        if !self.is_waiting_for(request, attempt, &cell) {
             return;
         }
         let expired = refusal.kind == Kind::ExpiredWaiting;
@@ -120,15 +133,15 @@
             return;
         };
         entry.refused_by.push(cell);
-        if self.has_other_place(request) {
+        if self.has_untried_cell(request) {
             self.place(request);
         } else {
             self.finish(request, Some(refusal));
         }
     }
 
-    /// Says whether asking on can help: another cell of the model exists somewhere.
-    fn has_other_place(&self, request: Id) -> bool {
+    /// Returns whether the settings have another cell of the model that has not refused the request.
+    fn has_untried_cell(&self, request: Id) -> bool {
         let Some(entry) = self.inflight.get(request) else {
             return false;
         };
@@ -137,8 +150,8 @@
         cells.any(|key| !entry.refused_by.contains(key))
     }
 
-    /// Notes the first token.
-    pub(super) fn first_token(&mut self, request: Id) {
+    /// Records the time of the first token and reports it to the home of the cell.
+    pub(super) fn handle_first_token(&mut self, request: Id) {
         let now = self.now;
         let Some(entry) = self.inflight.get_mut(request) else {
             return;
@@ -153,18 +166,19 @@
         }
     }
 
-    /// Ends a request whose caller went away or whose thread gave up.
-    pub(super) fn gone(&mut self, request: Id) {
+    /// Ends a request whose caller disconnected or whose thread gave up.
+    pub(super) fn handle_caller_gone(&mut self, request: Id) {
         let Some(entry) = self.inflight.get(request).cloned() else {
             return;
         };
-        self.give_back(request, &entry);
-        self.sample(&entry, None);
+        self.abandon(request, &entry);
+        self.record_sample(&entry, None);
         self.inflight.remove(request);
     }
 
-    /// Tells whoever has the request in a queue or at work that it is no longer wanted.
-    fn give_back(&mut self, request: Id, entry: &Entry) {
+    /// Withdraws a request from the queue, engines or server that has it, and records the outcome of
+    /// its claim.
+    fn abandon(&mut self, request: Id, entry: &Entry) {
         match entry.stage.clone() {
             Stage::Limited | Stage::Asking => {}
             Stage::Waiting { cell, home, .. } => {
@@ -172,7 +186,7 @@
             }
             Stage::Claiming { place, .. } => {
                 self.release_place(request, place);
-                self.settle(request, Outcome::NotSent);
+                self.record_outcome(request, Outcome::NotSent);
             }
             Stage::Running { place } => {
                 if let Place::Engines { engines, .. } = &place {
@@ -180,28 +194,30 @@
                     self.actions.push(Action::Cancel { request, engines });
                 }
                 self.release_place(request, place);
-                self.settle(request, Outcome::Unknown);
+                self.record_outcome(request, Outcome::Unknown);
             }
         }
     }
 
-    /// Gives a place back that was not used, or is not used any more.
+    /// Releases the engines or the server of a request that was not sent or no longer runs.
     pub(super) fn release_place(&mut self, request: Id, place: Place) {
         match place {
             Place::Engines { cell, home, .. } => {
                 let end = End::Left;
                 self.send(&home, Message::Done { cell, request, end });
             }
-            Place::Server { server } => self.servers.leave(&server, false, self.now),
+            Place::Server { server } => self.servers.end_call(&server, false, self.now),
         }
     }
 
-    /// Answers a request and lets it go.
+    /// Removes a request and answers it with `refusal`, if there is one.
+    ///
+    /// A request that may have run is never reported as not run.
     pub(super) fn finish(&mut self, request: Id, refusal: Option<Refusal>) {
         let Some(entry) = self.inflight.remove(request) else {
             return;
         };
-        self.sample(&entry, refusal);
+        self.record_sample(&entry, refusal);
         if let Some(mut refusal) = refusal {
             refusal = stop::as_draining(refusal, &entry);
             if entry.may_have_run && refusal.ran == Ran::No {
@@ -211,7 +227,8 @@
         }
     }
 
-    fn sample(&mut self, entry: &Entry, refusal: Option<Refusal>) {
+    /// Counts a request that has ended against its objectives.
+    fn record_sample(&mut self, entry: &Entry, refusal: Option<Refusal>) {
         let ticket = &entry.submission.ticket;
         let sample = Sample {
             first_token: entry.first_token.map(|at| at.since(entry.since)),
@@ -245,8 +262,8 @@
             Kind::ExpiredWaiting
         };
         self.count_cut_off(&entry);
-        self.give_back(request, &entry);
-        self.finish(request, Some(Refusal::new(kind, COME_BACK)));
+        self.abandon(request, &entry);
+        self.finish(request, Some(Refusal::new(kind, DEFAULT_RETRY_AFTER)));
     }
 
     fn tick_unsent(&mut self, request: Id) {
@@ -255,8 +272,8 @@
         };
         match entry.stage.clone() {
             Stage::Limited => self.tick_limited(request),
-            Stage::Asking if self.now.since(entry.staged) >= LOAD_ANSWER => {
-                self.place_far(request);
+            Stage::Asking if self.now.since(entry.staged) >= LOAD_TIMEOUT => {
+                self.place_remote(request);
             }
             Stage::Waiting {
                 cell,
@@ -264,8 +281,12 @@
                 sent,
                 queued,
             } => {
-                let pause = if queued { QUEUED_AGAIN } else { QUEUED_ANSWER };
-                let due = self.now.since(sent) >= pause;
+                let interval = if queued {
+                    QUEUED_RESEND_INTERVAL
+                } else {
+                    QUEUED_CONFIRMATION_TIMEOUT
+                };
+                let due = self.now.since(sent) >= interval;
                 self.follow_home(request, cell, home, queued, due);
             }
             Stage::Claiming { home, sent, .. } => self.tick_claiming(request, &home, sent),
@@ -273,7 +294,9 @@
         }
     }
 
-    /// Moves a waiting request to the cell's new home, or asks the silent home again.
+    /// Sends a waiting request to the new home of its cell, or to the same home again if `due`.
+    ///
+    /// A home in another domain that has not confirmed the request by then is marked as silent.
     fn follow_home(&mut self, request: Id, cell: Key, home: Name, queued: bool, due: bool) {
         if due && !queued && cell.domain != self.view.own().domain {
             self.view.note_silent(&home, self.now);
@@ -291,8 +314,10 @@
         }
     }
 
-    /// Asks a home again that has started anew and so has forgotten its queue.
-    pub(super) fn resend_to(&mut self, host: &Name) {
+    /// Sends the waiting requests of a home again.
+    ///
+    /// Called when a host has joined or restarted: a new incarnation of a home starts with an empty queue.
+    pub(super) fn resend_waiting(&mut self, host: &Name) {
         for request in self.inflight.unsent() {
             let Some(entry) = self.inflight.get(request) else {
                 continue;
@@ -307,21 +332,21 @@
         }
     }
 
-    /// Goes on with requests that waited for other domains' load.
-    pub(super) fn place_asking(&mut self) {
+    /// Continues the requests that wait for the load of other domains and now have it.
+    pub(super) fn place_load_waiters(&mut self) {
         for request in self.inflight.unsent() {
             let asking = self
                 .inflight
                 .get(request)
                 .is_some_and(|entry| entry.stage == Stage::Asking);
-            if asking && self.has_fresh_far_load(request) {
-                self.place_far(request);
+            if asking && self.has_load_of_all_remote_domains(request) {
+                self.place_remote(request);
             }
         }
     }
 
-    /// Says whether a holding at an engine is wanted by a request in hand here.
-    pub(super) fn wants(&self, request: Id, engine: &Name) -> bool {
+    /// Returns whether a request in flight here runs on an engine, or is about to.
+    pub(super) fn uses_engine(&self, request: Id, engine: &Name) -> bool {
         self.engines_of(request).contains(engine)
     }
 }
--- a/crates/alderglade-core/src/node/stop.rs
+++ b/crates/alderglade-core/src/node/stop.rs
@@ -1,36 +1,43 @@
-//! A planned stop: no request gets more time than the host has left.
+//! Draining the host: in-flight requests get no more time than the host has left.
 
 use super::Node;
-use super::submit::COME_BACK;
+use super::submit::DEFAULT_RETRY_AFTER;
 use crate::error::Kind;
 use crate::inflight::{Entry, Stage};
 use crate::message::Message;
 use crate::request::Refusal;
 use crate::time::Time;
 
-/// A planned stop under way.
+/// The state of a planned stop in progress.
 #[derive(Debug)]
 pub(super) struct Stop {
-    until: Time,
+    /// The time by which all requests have to be answered.
+    deadline: Time,
+    /// Number of requests ended by that deadline.
     cut_off: usize,
 }
 
 impl Node {
-    /// Begins to stop. A further order doesn't lengthen the time for it.
+    /// Starts a planned stop. Calling it again doesn't extend the time limit.
     pub(super) fn drain(&mut self) {
-        let until = self.now + self.drain_limit;
-        let stop = self.stop.get_or_insert(Stop { until, cut_off: 0 });
-        let until = stop.until;
+        let deadline = self.now + self.drain_limit;
+        let stop = self.stop.get_or_insert(Stop {
+            deadline,
+            cut_off: 0,
+        });
+        let deadline = stop.deadline;
         self.view.own_mut().leaving = true;
-        self.beat = None;
-        self.bound(until);
+        self.last_heartbeat = None;
+        self.cap_deadlines(deadline);
         self.tick();
     }
 
-    /// Leaves no request more time than the host has. Homes are told, which refuse what can't be done in
-    /// time rather than begin it.
-    fn bound(&mut self, until: Time) {
-        for request in self.inflight.bound(until) {
+    /// Caps the deadlines of all requests at that of the host.
+    ///
+    /// Waiting requests are queued again with their shorter time, so that their homes refuse those
+    /// that can't finish in time instead of starting them.
+    fn cap_deadlines(&mut self, deadline: Time) {
+        for request in self.inflight.bound(deadline) {
             let Some(entry) = self.inflight.get(request) else {
                 continue;
             };
@@ -46,34 +53,40 @@
         }
     }
 
+    /// Counts a request that expires if the planned stop, not its caller's timeout, set its deadline.
     pub(super) fn count_cut_off(&mut self, entry: &Entry) {
         if let Some(stop) = self.stop.as_mut().filter(|_| entry.is_bounded()) {
             stop.cut_off += 1;
         }
     }
 
-    /// Says whether the host is to stop.
+    /// Returns whether a planned stop is in progress.
     pub(super) fn is_draining(&self) -> bool {
         self.stop.is_some()
     }
 
-    /// Gives how many requests were ended because the time to stop was over.
+    /// Returns the number of requests that were ended because the time limit of the stop was reached.
     pub fn cut_off(&self) -> usize {
         self.stop.as_ref().map_or(0, |stop| stop.cut_off)
     }
 
-    /// Says whether a stopping host has nothing in hand and waits for no confirmation.
+    /// Returns whether a draining host has finished: no requests in flight, none waiting in its cells, and
+    /// no outcomes to be confirmed.
     pub fn is_drained(&self) -> bool {
-        let homes = self.homes.values().all(|cell| cell.waiting() == 0);
-        self.is_draining() && self.inflight.is_empty() && self.settling.is_empty() && homes
+        let no_waiting = self.homes.values().all(|cell| cell.waiting() == 0);
+        self.is_draining()
+            && self.inflight.is_empty()
+            && self.pending_outcomes.is_empty()
+            && no_waiting
     }
 }
 
-/// Names the stop as the cause where a request had too little time because of it: another host has more.
+/// Changes a refusal for lack of time to [`Kind::Draining`] if the planned stop shortened the request's
+/// deadline: another host can give it more time.
 pub(super) fn as_draining(refusal: Refusal, entry: &Entry) -> Refusal {
-    let late = matches!(refusal.kind, Kind::Overloaded | Kind::ExpiredWaiting);
-    if late && entry.is_bounded() {
-        return Refusal::new(Kind::Draining, COME_BACK);
+    let lacked_time = matches!(refusal.kind, Kind::Overloaded | Kind::ExpiredWaiting);
+    if lacked_time && entry.is_bounded() {
+        return Refusal::new(Kind::Draining, DEFAULT_RETRY_AFTER);
     }
     refusal
 }
--- a/crates/alderglade-core/src/node/submit.rs
+++ b/crates/alderglade-core/src/node/submit.rs
@@ -1,4 +1,4 @@
-//! Taking a request: rate, failure domain, cell.
+//! Accepts requests: applies the rate of the workspace, then picks a cell.
 
 use super::Node;
 use crate::Name;
@@ -12,22 +12,24 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// The home of a workspace's rate has this long to answer.
-const LIMIT_ANSWER: Duration = Duration::from_millis(60);
-/// Other domains have this long to tell their load.
-pub(super) const LOAD_ANSWER: Duration = Duration::from_millis(150);
-/// A digest of another domain's load is good for this long.
-pub(super) const LOAD_LIFE: Duration = Duration::from_millis(1_500);
-/// Cells that one request is offered to at most.
-const MOST_CELLS: usize = 3;
-/// The time to come back after where nothing better is known.
-pub(super) const COME_BACK: Duration = Duration::from_secs(1);
+/// Time for the home of a workspace's rate to answer. After it, the request uses this host's fallback part
+/// of the rate.
+const LIMIT_HOME_TIMEOUT: Duration = Duration::from_millis(60);
+/// Time for other domains to report their load. After it, the request is placed by the loads known so far.
+pub(super) const LOAD_TIMEOUT: Duration = Duration::from_millis(150);
+/// A load digest of a cell is used for this long.
+pub(super) const LOAD_LIFETIME: Duration = Duration::from_millis(1_500);
+/// A request that this many cells have refused is not offered to cells of other domains.
+const MAX_REFUSING_CELLS: usize = 3;
+/// Callers are asked to retry after this time if nothing better is known.
+pub(super) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Node {
+    /// Accepts a request, or refuses it if the host is draining.
     pub(super) fn submit(&mut self, submission: Submission) {
         let id = submission.ticket.id;
         if self.is_draining() {
-            self.refuse(id, Refusal::new(Kind::Draining, COME_BACK));
+            self.refuse(id, Refusal::new(Kind::Draining, DEFAULT_RETRY_AFTER));
             return;
         }
         let deadline = self.now + submission.ticket.time_left;
@@ -44,24 +46,25 @@
             may_have_run: false,
         };
         self.estimate_output(&mut entry);
-        let free = entry.submission.rate.is_free();
+        let unlimited = entry.submission.rate.is_free();
         self.inflight.insert(id, entry);
-        if free || self.take_share(id) {
+        if unlimited || self.take_from_share(id) {
             self.place(id);
         } else {
-            self.ask_slice(id);
+            self.request_slice(id);
         }
     }
 
     fn estimate_output(&self, entry: &mut Entry) {
         let class = &entry.submission.class;
         let ticket = &mut entry.submission.ticket;
-        ticket.output_expected = self
-            .output
-            .expect(&ticket.workspace, class, ticket.output_cap);
+        ticket.output_expected =
+            self.output_estimate
+                .expect(&ticket.workspace, class, ticket.output_cap);
     }
 
-    fn take_share(&mut self, id: Id) -> bool {
+    /// Takes the cost of a request from the slice that this host holds. Returns whether that covers it.
+    fn take_from_share(&mut self, id: Id) -> bool {
         let Some(entry) = self.inflight.get(id) else {
             return false;
         };
@@ -74,12 +77,13 @@
 
     fn share(&mut self, workspace: Name, rate: Rate) -> &mut Share {
         let (hosts, now) = (self.view.fleet_count(), self.now);
-        self.shares
+        self.rate_shares
             .entry(workspace)
             .or_insert_with(|| Share::new(rate, hosts, now))
     }
 
-    fn ask_slice(&mut self, id: Id) {
+    /// Requests a slice that covers the request from the home of its workspace's rate.
+    fn request_slice(&mut self, id: Id) {
         let Some(entry) = self.inflight.get(id) else {
             return;
         };
@@ -94,22 +98,22 @@
         self.view.fleet_home(&limit_key(workspace), self.now)
     }
 
-    /// Lends a slice, as the home of the workspace's rate.
+    /// Lends a slice of a workspace's rate, as its home.
     ///
-    /// A substitute for a home that can't be reached lends the own domain's part of the rate only:
-    /// the other domains, cut off from this one, have substitutes of their own.
-    pub(super) fn lend(&mut self, from: &Name, workspace: Name, cost: Cost) {
-        let whole = self.workspace_rate(&workspace);
+    /// If this host only replaces a home that can't be reached, it lends only its domain's part of
+    /// the rate: the other domains may be disconnected from this one and have replacements too.
+    pub(super) fn handle_lend(&mut self, from: &Name, workspace: Name, cost: Cost) {
+        let full_rate = self.workspace_rate(&workspace);
         let first = self.view.is_first_home(&limit_key(&workspace), self.now);
         let share = if first {
             1_000
         } else {
             self.view.domain_per_mille()
         };
-        let rate = whole.per_mille(share);
+        let rate = full_rate.per_mille(share);
         let now = self.now;
         let loan = self
-            .loans
+            .rate_loans
             .entry(workspace.clone())
             .or_insert_with(|| Loan::new(rate, now));
         let message = match loan.lend(rate, cost, now) {
@@ -127,47 +131,55 @@
         Rate::new(resolved.requests_per_second, resolved.tokens_per_second)
     }
 
-    /// Takes a slice and lets go on whoever it covers.
-    pub(super) fn lent(&mut self, workspace: &Name, slice: Cost) {
+    /// Handles a lent slice: continues the waiting requests that it covers.
+    pub(super) fn handle_lent(&mut self, workspace: &Name, slice: Cost) {
         let now = self.now;
-        if let Some(share) = self.shares.get_mut(workspace) {
+        if let Some(share) = self.rate_shares.get_mut(workspace) {
             share.lent(slice, now);
         }
-        for id in self.limited(workspace) {
-            if self.take_share(id) {
+        for id in self.limited_requests(workspace) {
+            if self.take_from_share(id) {
                 self.place(id);
             }
         }
     }
 
-    /// Refuses one request that the home lends nothing for.
-    pub(super) fn unlent(&mut self, workspace: &Name, retry_after: Duration) {
-        let Some(id) = self.limited(workspace).first().copied() else {
+    /// Handles the home's refusal to lend: refuses the first waiting request of the workspace.
+    pub(super) fn handle_unlent(&mut self, workspace: &Name, retry_after: Duration) {
+        let Some(id) = self.limited_requests(workspace).first().copied() else {
             return;
         };
         self.refuse_limited(id, retry_after);
     }
 
-    fn limited(&self, workspace: &Name) -> Vec<Id> {
-        let waits = |id: &Id| {
+    /// Returns the requests of a workspace that wait for a slice of its rate.
+    fn limited_requests(&self, workspace: &Name) -> Vec<Id> {
+        let is_limited = |id: &Id| {
             self.inflight.get(*id).is_some_and(|entry| {
                 entry.stage == Stage::Limited && entry.submission.ticket.workspace == *workspace
             })
         };
-        self.inflight.unsent().into_iter().filter(waits).collect()
+        self.inflight
+            .unsent()
+            .into_iter()
+            .filter(is_limited)
+            .collect()
     }
 
+    /// Refuses a request that exceeds its workspace's rate.
+    ///
+    /// Adds a delay per request to `retry_after`, so that the callers don't all retry at once.
     fn refuse_limited(&mut self, id: Id, retry_after: Duration) {
         let spread = retry_after + admission::come_back(retry_after, id) / 2;
         self.finish(id, Some(Refusal::new(Kind::LimitExceeded, spread)));
     }
 
-    /// Falls back to the host's own part of the rate where the home doesn't answer.
+    /// Uses this host's fallback part of the rate if the home has not answered in time.
     pub(super) fn tick_limited(&mut self, id: Id) {
         let Some(entry) = self.inflight.get(id) else {
             return;
         };
-        if self.now.since(entry.staged) < LIMIT_ANSWER {
+        if self.now.since(entry.staged) < LIMIT_HOME_TIMEOUT {
             return;
         }
         let ticket = &entry.submission.ticket;
@@ -185,7 +197,7 @@
         }
     }
 
-    /// Finds the request a cell or a server, once its rate allows it.
+    /// Picks a server or a cell for a request that its rate allows.
     pub(super) fn place(&mut self, id: Id) {
         let Some(entry) = self.inflight.get(id) else {
             return;
@@ -200,33 +212,34 @@
         let Some(entry) = self.inflight.get(id) else {
             return;
         };
-        if let Some(cell) = self.near_cell(entry) {
+        if let Some(cell) = self.pick_local_cell(entry) {
             self.enqueue(id, cell);
             return;
         }
-        let first = entry.refused_by.is_empty() || entry.stage != Stage::Asking;
-        if first && self.ask_load() {
-            self.stage(id, Stage::Asking);
+        let may_ask = entry.refused_by.is_empty() || entry.stage != Stage::Asking;
+        if may_ask && self.request_remote_loads() {
+            self.set_stage(id, Stage::Asking);
             return;
         }
-        self.place_far(id);
+        self.place_remote(id);
     }
 
-    /// Offers the request to another domain, or refuses it for good.
-    pub(super) fn place_far(&mut self, id: Id) {
+    /// Queues the request in a cell of another domain, or refuses it if none is suitable.
+    pub(super) fn place_remote(&mut self, id: Id) {
         let Some(entry) = self.inflight.get(id) else {
             return;
         };
-        match self.far_cell(entry) {
+        match self.pick_remote_cell(entry) {
             Some(cell) => self.enqueue(id, cell),
             None => {
-                let refusal = self.no_place(id);
+                let refusal = self.no_capacity(id);
                 self.finish(id, Some(refusal));
             }
         }
     }
 
-    fn no_place(&self, id: Id) -> Refusal {
+    /// Returns the refusal of a request that no cell can take.
+    fn no_capacity(&self, id: Id) -> Refusal {
         let overloaded = self
             .inflight
             .get(id)
@@ -236,14 +249,15 @@
         } else {
             Kind::NoCapacity
         };
-        let later = self.come_back(id);
-        Refusal::new(kind, later)
+        let retry_after = self.retry_after(id);
+        Refusal::new(kind, retry_after)
     }
 
-    /// Spreads the time to come back over the least wait that any known cell has.
-    fn come_back(&self, id: Id) -> Duration {
+    /// Returns the time after which to retry: the shortest wait of any known cell of the model, spread
+    /// by request.
+    fn retry_after(&self, id: Id) -> Duration {
         let Some(entry) = self.inflight.get(id) else {
-            return COME_BACK;
+            return DEFAULT_RETRY_AFTER;
         };
         let ticket = &entry.submission.ticket;
         let lane = ticket.lane.index();
@@ -252,11 +266,11 @@
             .values()
             .filter(|load| load.digest.cell.model == ticket.model && load.digest.open > 0)
             .map(|load| load.digest.waits[lane]);
-        admission::come_back(waits.min().unwrap_or(COME_BACK), id)
+        admission::come_back(waits.min().unwrap_or(DEFAULT_RETRY_AFTER), id)
     }
 
-    /// Picks among the cells of the own domain: of two by chance, the one with the shorter wait.
-    fn near_cell(&self, entry: &Entry) -> Option<Key> {
+    /// Picks a cell of the own domain that has room and has not refused the request.
+    fn pick_local_cell(&self, entry: &Entry) -> Option<Key> {
         let ticket = &entry.submission.ticket;
         let domain = &self.view.own().domain;
         let cells = self.cells.keys().filter(|key| {
@@ -268,16 +282,18 @@
         self.shorter_of_two(cells.cloned().collect(), ticket)
     }
 
-    /// A cell without news counts as having room; its home will say.
+    /// Returns whether a cell can hold the request, as far as is known.
+    ///
+    /// A cell without a fresh digest counts as having room: its home decides.
     fn has_room(&self, key: &Key, ticket: &Ticket) -> bool {
         let load = self.loads.get(key);
-        let fresh = load.filter(|load| self.now.since(load.at) < LOAD_LIFE);
+        let fresh = load.filter(|load| self.now.since(load.at) < LOAD_LIFETIME);
         fresh.is_none_or(|load| load.digest.open > 0 && load.digest.largest >= ticket.need())
     }
 
-    /// Picks among the cells of other domains that would be in time.
-    fn far_cell(&self, entry: &Entry) -> Option<Key> {
-        if entry.refused_by.len() >= MOST_CELLS {
+    /// Picks a cell of another domain whose last digest shows room and a wait that leaves enough time.
+    fn pick_remote_cell(&self, entry: &Entry) -> Option<Key> {
+        if entry.refused_by.len() >= MAX_REFUSING_CELLS {
             return None;
         }
         let ticket = entry.ticket(self.now);
@@ -285,7 +301,7 @@
             key.domain != self.view.own().domain
                 && key.model == ticket.model
                 && !entry.refused_by.contains(key)
-                && self.now.since(load.at) < LOAD_LIFE
+                && self.now.since(load.at) < LOAD_LIFETIME
                 && would_serve(&load.digest, &ticket)
                 && self.cell_home(key).is_some()
         });
@@ -294,6 +310,9 @@
         self.shorter_of_two(cells, &ticket)
     }
 
+    /// Picks two of the cells by the serial number of the request, and returns the one with the shorter wait.
+    ///
+    /// Always taking the shortest wait would send all requests to the same cell until its next digest.
     fn shorter_of_two(&self, cells: Vec<Key>, ticket: &Ticket) -> Option<Key> {
         if cells.is_empty() {
             return None;
@@ -316,7 +335,7 @@
         cells.get(best).cloned()
     }
 
-    /// Names the host to ask for a cell.
+    /// Returns the home of a cell, or `None` if no host of its domain can be reached.
     pub(super) fn cell_home(&self, cell: &Key) -> Option<Name> {
         let key = cell.to_string();
         if cell.domain == self.view.own().domain {
@@ -325,14 +344,14 @@
         self.view.far_home(&cell.domain, &key, self.now)
     }
 
-    /// Puts the request into a cell's queue, there to wait for its turn.
+    /// Sends the request to the home of a cell, to wait in its queue.
     pub(super) fn enqueue(&mut self, id: Id, cell: Key) {
         let Some(home) = self.cell_home(&cell) else {
-            let refusal = self.no_place(id);
+            let refusal = self.no_capacity(id);
             self.finish(id, Some(refusal));
             return;
         };
-        self.stage(
+        self.set_stage(
             id,
             Stage::Waiting {
                 cell: cell.clone(),
@@ -349,28 +368,29 @@
         self.send(&home, Message::Enqueue { cell, ticket });
     }
 
-    pub(super) fn stage(&mut self, id: Id, stage: Stage) {
+    /// Moves a request to another stage.
+    pub(super) fn set_stage(&mut self, id: Id, stage: Stage) {
         let now = self.now;
         if let Some(entry) = self.inflight.get_mut(id) {
             entry.enter(stage, now);
         }
     }
 
-    /// Asks the other domains for their load, unless they were asked just now.
+    /// Requests the load of the other domains, unless that was done within twice [`LOAD_TIMEOUT`].
     ///
-    /// Says whether waiting for the answer makes sense.
-    fn ask_load(&mut self) -> bool {
+    /// Returns whether an answer can still be expected.
+    fn request_remote_loads(&mut self) -> bool {
         let domains = self.view.far_domains();
         if domains.is_empty() {
             return false;
         }
-        let due = |asked: Time| self.now.since(asked) > LOAD_ANSWER * 2;
-        if !self.asked_load.is_none_or(due) {
+        let due = |asked: Time| self.now.since(asked) > LOAD_TIMEOUT * 2;
+        if !self.load_asked_at.is_none_or(due) {
             return self
-                .asked_load
-                .is_some_and(|asked| self.now.since(asked) < LOAD_ANSWER);
+                .load_asked_at
+                .is_some_and(|asked| self.now.since(asked) < LOAD_TIMEOUT);
         }
-        self.asked_load = Some(self.now);
+        self.load_asked_at = Some(self.now);
         for domain in domains {
             if let Some(host) = self.view.far_home(&domain, "load", self.now) {
                 self.send(&host, Message::AskLoad);
@@ -380,10 +400,12 @@
     }
 }
 
+/// Returns the key that selects the home of a workspace's rate.
 fn limit_key(workspace: &str) -> String {
     format!("limit/{workspace}")
 }
 
+/// Returns whether a cell has room for the request and its wait is below half of the remaining time.
 fn would_serve(digest: &Digest, ticket: &Ticket) -> bool {
     let wait = digest.waits[ticket.lane.index()];
     let room = digest.open > 0 && digest.largest >= ticket.need();
--- a/crates/alderglade-core/src/node/tries.rs
+++ b/crates/alderglade-core/src/node/tries.rs
@@ -1,6 +1,6 @@
-//! The end of a try at a backend server: the answer, or another try.
+//! Handles the end of an attempt at a backend server: the answer, or another attempt.
 
-use super::submit::COME_BACK;
+use super::submit::DEFAULT_RETRY_AFTER;
 use super::{Action, Ended, Node};
 use crate::Name;
 use crate::cell::End;
@@ -10,12 +10,14 @@
 use crate::message::Message;
 use crate::request::{Id, Refusal};
 
-/// Tries after "no room" that one request gets, beside the budget for real failures.
-const MOST_TRIES: u32 = 12;
+/// A request that a backend did not start is retried until it has had this many attempts.
+///
+/// A backend without room or about to leave doesn't count against the retry budget, which is for failures.
+const MAX_UNSTARTED_ATTEMPTS: u32 = 12;
 
 impl Node {
-    /// Takes the end of a try at a backend server.
-    pub(super) fn ended(&mut self, request: Id, attempt: u32, ended: Ended) {
+    /// Handles the result of an attempt. The result of an older attempt is ignored.
+    pub(super) fn handle_attempt_end(&mut self, request: Id, attempt: u32, ended: Ended) {
         let Some(entry) = self.inflight.get(request) else {
             return;
         };
@@ -23,33 +25,36 @@
         if !running || entry.submission.ticket.attempt != attempt {
             return;
         }
-        self.note_run(request, &ended);
-        self.leave_place(request, &ended);
+        self.record_possible_run(request, &ended);
+        self.leave_backend(request, &ended);
         match ended {
             Ended::Finished { tokens, outcome } => {
-                self.learn(request, tokens);
-                self.settle(request, outcome);
+                self.record_success(request, tokens);
+                self.record_outcome(request, outcome);
                 self.finish(request, None);
             }
             Ended::Expired => {
-                self.settle(request, Outcome::Unknown);
-                self.finish(request, Some(Refusal::new(Kind::ExpiredRunning, COME_BACK)));
+                self.record_outcome(request, Outcome::Unknown);
+                self.finish(
+                    request,
+                    Some(Refusal::new(Kind::ExpiredRunning, DEFAULT_RETRY_AFTER)),
+                );
             }
-            Ended::NoRoom | Ended::Leaving | Ended::Unreached => self.try_unsent(request, &ended),
-            Ended::Broke | Ended::Failed => self.try_again(request, &ended),
+            Ended::NoRoom | Ended::Leaving | Ended::Unreached => self.retry_unsent(request, &ended),
+            Ended::Broke | Ended::Failed => self.retry_failed(request, &ended),
         }
     }
 
-    /// Remembers that a backend may have started the request, unless it said that it didn't.
-    fn note_run(&mut self, request: Id, ended: &Ended) {
+    /// Records that a backend may have started the request, unless the result rules that out.
+    fn record_possible_run(&mut self, request: Id, ended: &Ended) {
         let unsent = matches!(ended, Ended::NoRoom | Ended::Leaving | Ended::Unreached);
         if let Some(entry) = self.inflight.get_mut(request) {
             entry.may_have_run |= !unsent;
         }
     }
 
-    /// Tells the home, or the servers' book, that a request has left.
-    fn leave_place(&mut self, request: Id, ended: &Ended) {
+    /// Releases the engines or the server of an attempt that has ended.
+    fn leave_backend(&mut self, request: Id, ended: &Ended) {
         let Some(entry) = self.inflight.get_mut(request) else {
             return;
         };
@@ -64,7 +69,7 @@
             } => {
                 entry.submission.ticket.avoid = avoid(ended, &engines);
                 if matches!(ended, Ended::Leaving) {
-                    self.leaving.note(&engines, self.now);
+                    self.leaving.record_report(&engines, self.now);
                 }
                 let end = end_of(ended);
                 self.send(&home, Message::Done { cell, request, end });
@@ -73,56 +78,59 @@
                 }
             }
             Place::Server { server } => {
-                let fault = !matches!(
+                let failed = !matches!(
                     ended,
                     Ended::Finished { .. } | Ended::NoRoom | Ended::Expired
                 );
-                if fault {
+                if failed {
                     entry.failed_by.push(server.clone());
                 }
                 if matches!(ended, Ended::Leaving) {
-                    self.leaving.note(std::slice::from_ref(&server), self.now);
+                    self.leaving
+                        .record_report(std::slice::from_ref(&server), self.now);
                 }
-                self.servers.leave(&server, fault, self.now);
+                self.servers.end_call(&server, failed, self.now);
             }
         }
     }
 
-    fn learn(&mut self, request: Id, tokens: u64) {
+    /// Credits the retry budget and updates the estimate of answer lengths.
+    fn record_success(&mut self, request: Id, tokens: u64) {
         self.budget.earn();
         let Some(entry) = self.inflight.get(request) else {
             return;
         };
         let workspace = &entry.submission.ticket.workspace;
-        self.output
+        self.output_estimate
             .learn(workspace, &entry.submission.class, tokens);
     }
 
-    /// Tries again what the backend says it didn't start.
+    /// Retries a request that the backend did not start.
     ///
-    /// The claim of a non-repeatable request stays recorded for this very request.
-    fn try_unsent(&mut self, request: Id, ended: &Ended) {
+    /// This is safe for non-repeatable requests too: the claim stays recorded for this request. Only a
+    /// failed connection counts against the retry budget.
+    fn retry_unsent(&mut self, request: Id, ended: &Ended) {
         let Some(entry) = self.inflight.get(request) else {
             return;
         };
         let attempt = entry.submission.ticket.attempt;
-        let free = !matches!(ended, Ended::Unreached);
-        let may = attempt < MOST_TRIES && (free || self.budget.spend(attempt));
-        if may {
+        let is_free = !matches!(ended, Ended::Unreached);
+        let may_retry = attempt < MAX_UNSTARTED_ATTEMPTS && (is_free || self.budget.spend(attempt));
+        if may_retry {
             self.retry(request);
             return;
         }
-        self.settle(request, Outcome::NotSent);
+        self.record_outcome(request, Outcome::NotSent);
         self.finish_unsent(request, Kind::NoCapacity);
     }
 
-    /// Answers a request that no backend has started.
+    /// Refuses a request that the last backend did not start.
     fn finish_unsent(&mut self, request: Id, kind: Kind) {
-        self.finish(request, Some(Refusal::new(kind, COME_BACK)));
+        self.finish(request, Some(Refusal::new(kind, DEFAULT_RETRY_AFTER)));
     }
 
-    /// Tries again what broke off, if it may be repeated and the budget allows it.
-    fn try_again(&mut self, request: Id, ended: &Ended) {
+    /// Retries a request that may have run, if it is repeatable and the retry budget allows it.
+    fn retry_failed(&mut self, request: Id, ended: &Ended) {
         let Some(entry) = self.inflight.get(request) else {
             return;
         };
@@ -132,15 +140,16 @@
             self.retry(request);
             return;
         }
-        self.settle(request, Outcome::Unknown);
+        self.record_outcome(request, Outcome::Unknown);
         let kind = match ended {
             Ended::Failed => Kind::BackendFailed,
             _ if repeatable => Kind::BackendFailed,
             _ => Kind::ContactLost,
         };
-        self.finish(request, Some(Refusal::new(kind, COME_BACK)));
+        self.finish(request, Some(Refusal::new(kind, DEFAULT_RETRY_AFTER)));
     }
 
+    /// Starts the next attempt of a request.
     fn retry(&mut self, request: Id) {
         let Some(entry) = self.inflight.get_mut(request) else {
             return;
@@ -152,11 +161,12 @@
     }
 }
 
-/// Says whether an engine may still work on a try that ended so.
+/// Returns whether an engine may still work on an attempt with this result.
 fn may_still_run(ended: &Ended) -> bool {
     matches!(ended, Ended::Broke | Ended::Failed | Ended::Expired)
 }
 
+/// Returns the result of an attempt as it is reported to the home of the cell.
 fn end_of(ended: &Ended) -> End {
     match ended {
         Ended::NoRoom => End::NoRoom,
@@ -166,11 +176,13 @@
     }
 }
 
-/// A gang is tried again as it comes; a single engine that failed is avoided next time.
+/// Returns the engine that the next attempt has to avoid: a single engine that failed or rejected this one.
+///
+/// No engine is avoided after an attempt at a gang.
 fn avoid(ended: &Ended, engines: &[Name]) -> Option<Name> {
-    let fault = !matches!(ended, Ended::Finished { .. } | Ended::Expired);
+    let failed = !matches!(ended, Ended::Finished { .. } | Ended::Expired);
     match engines {
-        [single] if fault => Some(single.clone()),
+        [single] if failed => Some(single.clone()),
         _ => None,
     }
 }
--- a/crates/alderglade-core/tests/testsuite/node.rs
+++ b/crates/alderglade-core/tests/testsuite/node.rs
@@ -1,4 +1,4 @@
-//! A whole host by its events.
+//! A single entry host, driven by events: liveness of engines at a home, and the planned stop.
 
 use crate::cell::{report, tree};
 use crate::queue::ticket;
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Less time to stop than callers have.
+/// Shorter than the time that callers allow, so that the stop sets the deadline.
 const DRAIN_LIMIT: Duration = Duration::from_secs(10);
 
 fn card(name: &str) -> Card {
@@ -31,8 +31,9 @@
     }
 }
 
-/// A host that is home of a cell of two engines, which have reported at `now`; another host is listed.
-fn home(now: Time) -> (Node, Key) {
+/// Returns a node that is home of a cell of two engines, which have reported at `now`. The platform also lists
+/// the host `h1`.
+fn home_node(now: Time) -> (Node, Key) {
     let config = Config {
         card: card("h0"),
         placement: placement::Config::default(),
@@ -56,8 +57,8 @@
     (node, key)
 }
 
-/// What a home answers to a short prompt of another host's.
-fn enqueue(node: &mut Node, cell: &Key, now: Time) -> Message {
+/// Sends the home a short prompt of host `h1` and returns its answer.
+fn answer_to_enqueue(node: &mut Node, cell: &Key, now: Time) -> Message {
     let message = Message::Enqueue {
         cell: cell.clone(),
         ticket: ticket(1, "w", Lane::Urgent, 1_000, 1),
@@ -72,30 +73,30 @@
 }
 
 #[test]
-fn a_home_that_was_stopped_doesnt_take_its_engines_for_dead() {
+fn a_suspended_home_keeps_its_engines_alive() {
     let now = Time::from_millis(1_000);
-    let (mut node, cell) = home(now);
-    // It wakes after four seconds without a report; the first thing that it takes is a request that
-    // was sent to it meanwhile.
-    let woken = now + Duration::from_secs(4);
-    let answer = enqueue(&mut node, &cell, woken);
+    let (mut node, cell) = home_node(now);
+    // The process resumes after four seconds without reports. The first event that it handles is a
+    // request that arrived in the meantime.
+    let resumed = now + Duration::from_secs(4);
+    let answer = answer_to_enqueue(&mut node, &cell, resumed);
     assert!(matches!(answer, Message::Grant { .. }), "{answer:?}");
 }
 
 #[test]
-fn a_home_that_runs_knows_engines_without_reports_for_dead() {
+fn a_running_home_considers_engines_without_reports_dead() {
     let now = Time::from_millis(1_000);
-    let (mut node, cell) = home(now);
+    let (mut node, cell) = home_node(now);
     let mut at = now;
     while at < now + Duration::from_secs(4) {
         at = at + Duration::from_millis(20);
         node.handle(Event::Tick, at, 0);
     }
-    let answer = enqueue(&mut node, &cell, at);
+    let answer = answer_to_enqueue(&mut node, &cell, at);
     assert!(matches!(answer, Message::Refused { .. }), "{answer:?}");
 }
 
-/// A short prompt of a caller's own, which has a minute.
+/// Returns a short prompt of this host's own caller with a timeout of a minute.
 fn submission() -> Submission {
     let ticket = ticket(1, "w", Lane::Urgent, 1_000, 1);
     Submission {
@@ -121,9 +122,9 @@
 }
 
 #[test]
-fn what_runs_is_ended_with_the_time_to_stop_that_no_further_order_lengthens() {
+fn a_second_drain_doesnt_extend_the_time_limit_of_running_requests() {
     let now = Time::from_millis(1_000);
-    let (mut node, _) = home(now);
+    let (mut node, _) = home_node(now);
     let started = node.handle(Event::Submit(Box::new(submission())), now, 0);
     let is_start = |action: &Action| matches!(action, Action::Start { .. });
     assert!(started.iter().any(is_start), "{started:?}");
@@ -141,9 +142,9 @@
 }
 
 #[test]
-fn nothing_is_let_in_once_a_host_is_to_stop() {
+fn a_draining_host_refuses_new_requests() {
     let now = Time::from_millis(1_000);
-    let (mut node, _) = home(now);
+    let (mut node, _) = home_node(now);
     node.handle(Event::Drain, now, 0);
     let refused = node.handle(Event::Submit(Box::new(submission())), now, 0);
     assert_eq!(refusal(&refused), Some((Kind::Draining, Ran::No)));
