--- a/crates/alderglade-core/src/admission.rs
+++ b/crates/alderglade-core/src/admission.rs
@@ -1,9 +1,9 @@
-//! Decides at the door whether a request can finish within its time.
+//! Admission control: decides whether a request can finish within its time limit.
 //!
-//! The wait is estimated from the work ahead of the request in its own lane, as far as its
-//! workspace's share lets it wait behind others, and from the more urgent lanes. A request that
-//! can't be in time is refused at once. It is told to come back within the time that the backlog
-//! needs, spread over that time, since a burst that was refused together must not return together.
+//! The wait is estimated from the more urgent lanes and from the work ahead of the request in its
+//! own lane, limited by the fair share of its workspace. A request that can't finish in time is
+//! refused immediately. Its retry time follows the time that the backlog needs, with jitter, so
+//! that a burst of refused requests doesn't return all at once.
 
 use crate::book::Engine;
 use crate::lane::Lane;
@@ -13,51 +13,51 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The share of the time allowed that the estimate may fill, in thousandths.
-pub const FILL_PER_MILLE: u64 = 970;
-/// The shortest time to come back after.
-const SOONEST: Duration = Duration::from_millis(200);
-/// The longest time to come back after.
-const LATEST: Duration = Duration::from_secs(60);
+/// Share of a request's remaining time that the estimate may use, in thousandths.
+pub const MAX_FILL_PER_MILLE: u64 = 970;
+/// Lower bound for the base of a retry time, before jitter.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Upper bound for the base of a retry time, before jitter.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// Bits of the number that spreads the times to come back.
-const SPREAD_BITS: u32 = 20;
+/// Random bits of the jitter of a retry time.
+const JITTER_BITS: u32 = 20;
 
-/// What the open engines of a cell can do together.
+/// Combined capacity and load of a cell's open engines.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Capacity {
-    /// How many engines are open.
+    /// Number of open engines.
     pub engines: u64,
-    /// How many of them may prefill long prompts.
+    /// Number of open engines that may prefill long prompts.
     pub long_engines: u64,
-    /// Prefill tokens a second of one engine.
+    /// Prefill rate of one engine, in tokens per second.
     pub rate: u64,
-    /// Streams that fit at once.
+    /// Maximum number of concurrent streams.
     pub slots: u64,
-    /// Streams that run.
+    /// Number of running streams.
     pub running: u64,
-    /// How long a stream holds its slot, on average.
-    pub hold: Duration,
-    /// Step time while decoding.
+    /// Average time that a stream occupies its slot.
+    pub slot_time: Duration,
+    /// Duration of a decode step.
     pub step: Duration,
-    /// Step time while short prompts are prefilled beside what decodes.
+    /// Duration of a step that also prefills a chunk of short prompts.
     pub mixed_step: Duration,
-    /// Prompt tokens of such a step.
+    /// Prompt tokens prefilled in a mixed step.
     pub mixed_chunk: u64,
-    /// Prompt tokens of long work that was granted and isn't prefilled yet.
-    pub long_under_way: u64,
-    /// Prompt tokens of short work that was granted and isn't prefilled yet.
-    pub short_under_way: u64,
+    /// Prompt tokens of granted long requests that are not prefilled yet.
+    pub long_pending_tokens: u64,
+    /// Prompt tokens of granted short requests that are not prefilled yet.
+    pub short_pending_tokens: u64,
 }
 
 impl Capacity {
-    /// Gives the prompt tokens that one engine prefills in a second beside what decodes.
+    /// Returns the prefill rate of one engine in mixed steps, in tokens per second.
     pub fn mixed_rate(&self) -> u64 {
         let micros = self.mixed_step.as_micros().max(1) as u64;
         (self.mixed_chunk * 1_000_000 / micros).max(1)
     }
 
-    /// Adds what one open engine can do.
+    /// Adds the capacity and load of one open engine.
     pub fn add(&mut self, engine: &Engine, now: Time) {
         self.engines += 1;
         self.rate = self.rate.max(engine.rate);
@@ -66,56 +66,57 @@
         self.step = self.step.max(engine.step_time());
         self.mixed_step = self.mixed_step.max(engine.mixed_step());
         self.mixed_chunk = self.mixed_chunk.max(engine.mixed_chunk);
-        self.short_under_way += engine.short_backlog();
-        self.long_under_way += engine.long_left(now);
+        self.short_pending_tokens += engine.short_backlog();
+        self.long_pending_tokens += engine.long_tokens_left(now);
     }
 }
 
-/// Estimates how long a request waits before an engine starts on it.
-pub fn wait(queue: &Queue, capacity: &Capacity, ticket: &Ticket) -> Duration {
+/// Estimates how long a request waits until an engine starts it.
+pub fn queue_wait(queue: &Queue, capacity: &Capacity, ticket: &Ticket) -> Duration {
     if capacity.engines == 0 || capacity.rate == 0 {
         return Duration::MAX;
     }
-    let own = queue.ahead(ticket.lane, &ticket.workspace, ticket.weight);
-    let before: u64 = Lane::ALL
+    let own = queue.tokens_ahead(ticket.lane, &ticket.workspace, ticket.weight);
+    let more_urgent: u64 = Lane::ALL
         .iter()
         .filter(|lane| **lane < ticket.lane && ticket.lane != Lane::Long)
         .map(|lane| queue.tokens(*lane))
         .sum();
-    let (servers, under_way, rate) = match ticket.lane {
+    let (engines, pending, rate) = match ticket.lane {
         Lane::Long => (
             capacity.long_engines.max(1),
-            capacity.long_under_way,
+            capacity.long_pending_tokens,
             capacity.rate,
         ),
         Lane::Urgent | Lane::Standard => (
             capacity.engines,
-            capacity.short_under_way,
+            capacity.short_pending_tokens,
             capacity.mixed_rate(),
         ),
     };
-    let tokens = own + before + under_way;
-    let prefill = Duration::from_micros(tokens * 1_000_000 / (rate * servers).max(1));
-    prefill.max(slot_wait(queue, capacity, ticket.lane))
+    let tokens = own + more_urgent + pending;
+    let prefill = Duration::from_micros(tokens * 1_000_000 / (rate * engines).max(1));
+    prefill.max(stream_slot_wait(queue, capacity, ticket.lane))
 }
 
-/// Estimates the wait for a stream to end, where all engines decode as many as they may.
-fn slot_wait(queue: &Queue, capacity: &Capacity, lane: Lane) -> Duration {
+/// Estimates how long a request waits for a free stream slot.
+fn stream_slot_wait(queue: &Queue, capacity: &Capacity, lane: Lane) -> Duration {
     let ahead: usize = Lane::ALL
         .iter()
         .filter(|other| **other <= lane)
         .map(|other| queue.count(*other))
         .sum();
     let free = capacity.slots.saturating_sub(capacity.running);
-    let short = (ahead as u64).saturating_sub(free);
-    let micros = capacity.hold.as_micros() as u64 * short / capacity.slots.max(1);
+    let missing = (ahead as u64).saturating_sub(free);
+    let micros = capacity.slot_time.as_micros() as u64 * missing / capacity.slots.max(1);
     Duration::from_micros(micros)
 }
 
-/// Estimates how long a request runs once an engine starts on it.
+/// Estimates how long a request runs once an engine has started it.
 ///
-/// While short prompts keep coming each step also prefills a chunk of them, and takes longer.
-pub fn service(capacity: &Capacity, ticket: &Ticket, busy: bool) -> Duration {
+/// While short prompts keep arriving (`busy`), each step also prefills a chunk of them and takes
+/// longer.
+pub fn service_time(capacity: &Capacity, ticket: &Ticket, busy: bool) -> Duration {
     let (rate, step) = if busy && ticket.lane != Lane::Long {
         (capacity.mixed_rate(), capacity.mixed_step)
     } else {
@@ -126,33 +127,35 @@
     Duration::from_micros(prefill) + step.saturating_mul(steps)
 }
 
-/// Says whether short prompts wait or are being prefilled.
-pub fn is_busy(queue: &Queue, capacity: &Capacity) -> bool {
+/// Returns whether short prompts are waiting or being prefilled.
+pub fn has_short_prefill(queue: &Queue, capacity: &Capacity) -> bool {
     let waiting = queue.tokens(Lane::Urgent) + queue.tokens(Lane::Standard);
-    waiting + capacity.short_under_way > 0
+    waiting + capacity.short_pending_tokens > 0
 }
 
-/// Says whether the request may be let in.
+/// Checks whether a request can finish within its remaining time.
 ///
 /// # Errors
 ///
-/// Gives the time to come back after where the request can't be in time.
+/// Returns the time after which the caller should retry if the request can't finish in time.
 pub fn admit(queue: &Queue, capacity: &Capacity, ticket: &Ticket) -> Result<(), Duration> {
-    let wait = wait(queue, capacity, ticket);
-    let busy = is_busy(queue, capacity);
-    let needed = wait.saturating_add(service(capacity, ticket, busy));
-    let allowed = ticket.time_left.as_micros() as u64 / 1_000 * FILL_PER_MILLE;
+    let wait = queue_wait(queue, capacity, ticket);
+    let busy = has_short_prefill(queue, capacity);
+    let needed = wait.saturating_add(service_time(capacity, ticket, busy));
+    let allowed = ticket.time_left.as_micros() as u64 / 1_000 * MAX_FILL_PER_MILLE;
     if needed <= Duration::from_micros(allowed) {
         return Ok(());
     }
     Err(come_back(wait, ticket.id))
 }
 
-/// Spreads the time to come back over the time that the backlog needs.
+/// Returns a retry time: the time that the backlog needs, within bounds, times 0.5 to 1.5.
+///
+/// The jitter is a hash of the request's identity, so that it is deterministic.
 pub fn come_back(backlog: Duration, id: Id) -> Duration {
-    let span = backlog.clamp(SOONEST, LATEST);
-    let mixed = xxh3_64_with_seed(&id.serial.to_le_bytes(), id.incarnation);
-    let part = mixed >> (u64::BITS - SPREAD_BITS);
-    let spread = (span.as_micros() as u64 * part) >> SPREAD_BITS;
-    span / 2 + Duration::from_micros(spread)
+    let span = backlog.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
+    let hash = xxh3_64_with_seed(&id.serial.to_le_bytes(), id.incarnation);
+    let fraction = hash >> (u64::BITS - JITTER_BITS);
+    let jitter = (span.as_micros() as u64 * fraction) >> JITTER_BITS;
+    span / 2 + Duration::from_micros(jitter)
 }
--- a/crates/alderglade-core/src/book.rs
+++ b/crates/alderglade-core/src/book.rs
@@ -1,7 +1,7 @@
-//! The home's book of its engines: what each holds, owes and reports.
+//! The home's state of its engines: memory, load and reports.
 //!
-//! Load reports come late. The book therefore counts what was granted since, and uses a report
-//! only to learn of holdings it doesn't know and to notice an engine that has stopped answering.
+//! Load reports arrive late. The state therefore counts every grant itself. A report is used only to
+//! find unknown holdings and to detect an engine that has stopped answering.
 
 use crate::Name;
 use crate::lane::Lane;
@@ -12,27 +12,27 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// An engine without a report for this long gets no new work.
-pub const REPORT_LIFE: Duration = Duration::from_secs(3);
-/// Decode step time added by each thousand tokens of context in the batch, in microseconds.
+/// An engine that hasn't reported for this long gets no new work.
+pub const REPORT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Decode step time added per 1,000 context tokens in the batch, in microseconds.
 const STEP_MICROS_PER_1K_CONTEXT: u64 = 20;
-/// Bound on context tokens in a batch that serves short work: a step stays below 48 ms.
-pub const CONTEXT_BOUND: u64 = 1_000_000;
-/// How much of a shared prefix is expected to be still cached, in thousandths.
-const HIT_PER_MILLE: u64 = 600;
-/// Prefixes remembered for each engine.
-const MOST_PREFIXES: usize = 512;
+/// Maximum context tokens of a batch that accepts short requests. It keeps a step below 48 ms.
+pub const MAX_CONTEXT_TOKENS: u64 = 1_000_000;
+/// Probability that a shared prefix is still cached, in thousandths.
+const PREFIX_HIT_PER_MILLE: u64 = 600;
+/// Maximum number of prefixes tracked per engine.
+const MAX_PREFIXES: usize = 512;
 
-/// What an engine holds for somebody: a stream or a reservation.
+/// Memory that an engine holds for an entry host: a stream or a reservation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Holding {
-    /// The request it is held for.
+    /// The request that uses the memory.
     pub request: Id,
-    /// The entry host that asked for it.
+    /// The entry host that requested the memory.
     pub holder: Name,
     /// KV memory, in tokens.
     pub tokens: u64,
-    /// How long it has been held.
+    /// How long the memory has been held.
     pub age: Duration,
 }
 
@@ -41,89 +41,90 @@
 pub struct Report {
     /// The engine.
     pub engine: Name,
-    /// Counts the engine's starts: what an earlier one held is gone.
+    /// Identifies one start of the engine; holdings of an earlier incarnation are gone.
     pub incarnation: u64,
-    /// Whether it is leaving and wants no new work.
+    /// Whether the engine is leaving and accepts no new work.
     pub leaving: bool,
-    /// What it holds.
+    /// All memory that the engine holds.
     pub holdings: Vec<Holding>,
-    /// Prefixes that it has evicted since the last report; late, and some are missing.
+    /// Keys of prefixes evicted since the last report. They arrive late and may be incomplete.
     pub evicted: Vec<u64>,
 }
 
-/// A request that the home has granted to an engine.
+/// A request that the home has granted to an engine, or found in its report.
 #[derive(Debug, Clone)]
 pub struct Running {
-    /// The entry host that runs it.
+    /// The entry host that sent it.
     pub from: Name,
-    /// Its lane.
+    /// The lane of the request.
     pub lane: Lane,
-    /// Prompt tokens to prefill, as far as no cache serves them.
+    /// Prompt tokens to prefill, without those expected in the cache.
     pub prefill: u64,
-    /// KV memory it takes here.
+    /// KV memory used at this engine, in tokens.
     pub need: u64,
     /// When it was granted.
     pub since: Time,
-    /// When it has to be answered.
+    /// The time by which it has to be answered.
     pub deadline: Time,
     /// When it is expected to end.
-    pub ends: Time,
-    /// Whether its first token has come.
+    pub expected_end: Time,
+    /// Whether the first token has arrived.
     pub decoding: bool,
-    /// When a report last showed it.
-    pub seen: Time,
+    /// When it was granted or last seen in a report.
+    pub last_seen: Time,
 }
 
-/// What the home knows of one engine.
+/// The home's state of one engine.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// Its name.
+    /// The engine's name.
     pub name: Name,
-    /// KV memory, in tokens.
+    /// Total KV memory, in tokens.
     pub kv_tokens: u64,
-    /// Streams at once.
+    /// Maximum number of concurrent streams.
     pub max_batch: usize,
-    /// Prefill rate in tokens a second.
+    /// Prefill rate in tokens per second.
     pub rate: u64,
-    /// Step time when idle.
+    /// Duration of a decode step with an empty context.
     pub step: Duration,
-    /// Prompt tokens of a step while nothing decodes.
+    /// Prompt tokens prefilled per step while no stream decodes.
     pub chunk: u64,
-    /// Prompt tokens of a step beside decoding streams.
+    /// Prompt tokens prefilled per step while streams decode.
     pub mixed_chunk: u64,
-    /// Whether it is leaving; sticky for the incarnation.
+    /// Whether the engine is leaving; stays set for the incarnation.
     pub leaving: bool,
-    /// Whether it failed a request and hasn't reported since.
+    /// Whether the engine failed a request and hasn't reported since.
     pub suspect: bool,
-    /// When its last report came.
+    /// When the last report arrived.
     pub reported: Time,
-    /// Its incarnation as last reported.
+    /// The incarnation in the last report; `0` before the first report.
     pub incarnation: u64,
-    /// What runs there.
+    /// The requests that are granted to the engine.
     pub running: HashMap<Id, Running>,
-    /// Memory that a group being formed holds here, in tokens.
+    /// Memory set aside for a gang that is being formed, in tokens.
     pub reserved: u64,
-    /// Short prompt tokens granted since the long prefill that is under way began.
+    /// Short prompt tokens granted since the current long prefill began.
     pub short_beside_long: u64,
     load: Load,
     prefixes: BTreeMap<u64, u64>,
 }
 
-/// Sums over what runs, kept up with each change so that a decision never walks the requests.
+/// Totals over the running requests. They are updated with each change, so that a decision never
+/// iterates over the requests.
 #[derive(Debug, Clone, Copy, Default)]
 struct Load {
     need: u64,
     context: u64,
     prefill_short: u64,
     long_prefills: usize,
-    longs: usize,
-    long_since: Time,
+    long_requests: usize,
+    long_prefill_since: Time,
     long_tokens: u64,
     decoding: usize,
 }
 
 impl Engine {
-    /// Makes the book's page for an engine of the settings.
+    /// Creates the state of an engine from its settings.
     pub fn new(name: &Name, engine: &tree::Engine, model: &tree::Model, now: Time) -> Engine {
         Engine {
             name: name.clone(),
@@ -145,84 +146,84 @@
         }
     }
 
-    /// Gives the time that a step takes while short prompts are prefilled beside what decodes.
+    /// Estimates the duration of a decode step that also prefills a chunk of short prompts.
     pub fn mixed_step(&self) -> Duration {
         self.step_time() + Duration::from_micros(self.mixed_chunk * 1_000_000 / self.rate)
     }
 
-    /// Says whether it may get new work.
+    /// Returns whether the engine may get new work.
     pub fn is_open(&self, now: Time) -> bool {
         self.is_live(now) && !self.suspect
     }
 
-    /// Says whether it is there, though it may just have failed a request.
+    /// Returns whether the engine reports and is not leaving. It may have failed a request.
     pub fn is_live(&self, now: Time) -> bool {
-        !self.leaving && now.since(self.reported) < REPORT_LIFE
+        !self.leaving && now.since(self.reported) < REPORT_TIMEOUT
     }
 
-    /// Gives free KV memory in tokens, as the book has it.
+    /// Returns the free KV memory in tokens, by the home's own accounting.
     pub fn free(&self) -> u64 {
         self.kv_tokens
             .saturating_sub(self.load.need + self.reserved)
     }
 
-    /// Gives prompt tokens of short work that wait for prefill.
+    /// Returns the prompt tokens of short requests that are not prefilled yet.
     pub fn short_backlog(&self) -> u64 {
         self.load.prefill_short
     }
 
-    /// Gives how many long prompts are being prefilled.
+    /// Returns the number of long prompts being prefilled.
     pub fn long_prefills(&self) -> usize {
         self.load.long_prefills
     }
 
-    /// Gives how many long requests run.
-    pub fn longs(&self) -> usize {
-        self.load.longs
+    /// Returns the number of running long requests.
+    pub fn long_requests(&self) -> usize {
+        self.load.long_requests
     }
 
-    /// Gives the context tokens in the batch.
+    /// Returns the context tokens in the batch.
     pub fn context(&self) -> u64 {
         self.load.context
     }
 
-    /// Gives how many streams decode.
+    /// Returns the number of decoding streams.
     pub fn decoding(&self) -> usize {
         self.load.decoding
     }
 
-    /// Gives when the long prefill that is under way was granted.
-    pub fn long_since(&self) -> Time {
-        self.load.long_since
+    /// Returns when the latest long prefill was granted.
+    pub fn long_prefill_since(&self) -> Time {
+        self.load.long_prefill_since
     }
 
-    /// Estimates the long prompt tokens that are granted and, by the clock, not yet prefilled.
-    pub fn long_left(&self, now: Time) -> u64 {
-        let micros = now.since(self.load.long_since).as_micros() as u64;
+    /// Estimates the granted long prompt tokens that are not prefilled yet, from the elapsed time.
+    pub fn long_tokens_left(&self, now: Time) -> u64 {
+        let micros = now.since(self.load.long_prefill_since).as_micros() as u64;
         self.load
             .long_tokens
             .saturating_sub(micros * self.rate / 1_000_000)
     }
 
-    /// Estimates the time of one decode step.
+    /// Estimates the duration of one decode step.
     pub fn step_time(&self) -> Duration {
         let micros = self.load.context / 1_000 * STEP_MICROS_PER_1K_CONTEXT;
         self.step + Duration::from_micros(micros)
     }
 
-    /// Estimates how many of a prompt's tokens have to be prefilled.
+    /// Estimates how many tokens of a prompt have to be prefilled.
     ///
-    /// Cache events come late and with gaps: an expected hit counts as a probability.
-    pub fn prefill_of(&self, ticket: &Ticket) -> u64 {
+    /// Cache events arrive late and with gaps, so an expected hit is weighted by a probability.
+    pub fn prefill_tokens(&self, ticket: &Ticket) -> u64 {
         let cached = ticket
             .prefix
             .and_then(|prefix| self.prefixes.get(&prefix.key).copied())
             .unwrap_or(0);
-        let saved = cached.min(ticket.prompt) * HIT_PER_MILLE / 1_000;
-        ticket.prompt - saved
+        let expected_hit = cached.min(ticket.prompt) * PREFIX_HIT_PER_MILLE / 1_000;
+        ticket.prompt - expected_hit
     }
 
-    /// Estimates when `tokens` of memory will be free, as running work ends.
+    /// Estimates when `tokens` of memory will be free, from the expected ends of running requests.
     pub fn free_at(&self, tokens: u64, now: Time) -> Time {
         let mut free = self.free();
         if free >= tokens {
@@ -231,7 +232,7 @@
         let mut ends: Vec<(Time, u64)> = self
             .running
             .values()
-            .map(|running| (running.ends, running.need))
+            .map(|running| (running.expected_end, running.need))
             .collect();
         ends.sort_unstable();
         for (end, need) in ends {
@@ -243,24 +244,24 @@
         Time::NEVER
     }
 
-    /// Notes that a prompt's shared beginning will be cached here.
-    pub fn expect_prefix(&mut self, ticket: &Ticket) {
+    /// Records that the prompt's shared prefix will be cached at this engine.
+    pub fn record_prefix(&mut self, ticket: &Ticket) {
         if let Some(prefix) = ticket.prefix {
-            self.remember(prefix.key, prefix.tokens);
+            self.insert_prefix(prefix.key, prefix.tokens);
         }
     }
 
-    /// Notes that a request was granted here, or found here.
+    /// Adds a request that was granted to this engine or found in its report.
     pub fn grant(&mut self, id: Id, running: Running, now: Time) {
         self.release(id);
         self.load.decoding += usize::from(running.decoding);
         match running.lane {
-            Lane::Long if running.decoding => self.load.longs += 1,
+            Lane::Long if running.decoding => self.load.long_requests += 1,
             Lane::Long => {
-                self.load.longs += 1;
+                self.load.long_requests += 1;
                 self.load.long_tokens += running.prefill;
                 self.load.long_prefills += 1;
-                self.load.long_since = now;
+                self.load.long_prefill_since = now;
                 self.short_beside_long = 0;
             }
             Lane::Urgent | Lane::Standard if running.decoding => {}
@@ -274,7 +275,7 @@
         self.running.insert(id, running);
     }
 
-    /// Notes that a request's first token has come.
+    /// Records the first token of a request, which ends its prefill.
     pub fn first_token(&mut self, id: Id) {
         let Some(running) = self.running.get_mut(&id) else {
             return;
@@ -288,7 +289,7 @@
         self.end_prefill(lane, prefill);
     }
 
-    /// Notes that a request has left; gives what the book had of it.
+    /// Removes and returns a request that has ended.
     pub fn release(&mut self, id: Id) -> Option<Running> {
         let running = self.running.remove(&id)?;
         if running.decoding {
@@ -297,14 +298,14 @@
             self.end_prefill(running.lane, running.prefill);
         }
         if running.lane == Lane::Long {
-            self.load.longs -= 1;
+            self.load.long_requests -= 1;
         }
         self.load.need -= running.need;
         self.load.context -= running.need;
         Some(running)
     }
 
-    /// Takes in a report. A new incarnation holds nothing of the old one's.
+    /// Applies a report. Returns the requests that were lost because the engine has restarted.
     pub fn report(&mut self, report: &Report, now: Time) -> Vec<Id> {
         self.reported = now;
         self.suspect = false;
@@ -337,8 +338,8 @@
         }
     }
 
-    fn remember(&mut self, key: u64, tokens: u64) {
-        if self.prefixes.len() >= MOST_PREFIXES {
+    fn insert_prefix(&mut self, key: u64, tokens: u64) {
+        if self.prefixes.len() >= MAX_PREFIXES {
             self.prefixes.pop_first();
         }
         self.prefixes.insert(key, tokens);
--- a/crates/alderglade-core/src/cell.rs
+++ b/crates/alderglade-core/src/cell.rs
@@ -1,10 +1,10 @@
-//! A cell: the engines of one model in one failure domain that share a queue, and their home.
+//! A cell: engines of one model in one failure domain that share a queue, managed by a home host.
 //!
-//! The home of a cell binds a request to an engine only when an engine has room for it. Until
-//! then the request waits in the cell's one queue, so the death of an engine loses no place in
-//! it and order holds over all engines. The home grants; the entry host that holds the caller
-//! sends the work itself. A home is a hint for efficiency: where two hosts both believe to be
-//! home, the engines' own memory accounts decide, and a grant that comes second is declined.
+//! The home of a cell assigns a request to an engine only when an engine has room for it. Until then
+//! the request waits in the cell's queue. The order thus holds across all engines, and the loss of
+//! an engine costs no request its position. The home only grants; the entry host that holds the
+//! caller's connection sends the work itself. The home role is an optimization, not a lock: if two
+//! hosts both act as home, the engines' own memory accounting decides and declines the second grant.
 
 mod forming;
 mod grants;
@@ -28,14 +28,14 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Names a cell.
+/// Identifies a cell.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
     /// The failure domain.
     pub domain: Name,
     /// The model.
     pub model: Name,
-    /// Counts the cells of that domain and model.
+    /// Number of the cell among those of the same domain and model.
     pub index: u32,
 }
 
@@ -45,59 +45,59 @@
     }
 }
 
-/// What the home wants done.
+/// An action that the home requests from its caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Tell an entry host that its request waits here.
+    /// Confirm to an entry host that its request is queued here.
     Queued {
         /// The entry host.
         to: Name,
         /// The request.
         request: Id,
-        /// Its try.
+        /// The attempt of the request.
         attempt: u32,
     },
-    /// Tell an entry host to send its request.
+    /// Grant engines to an entry host, which then sends its request.
     Grant {
         /// The entry host.
         to: Name,
         /// The request.
         request: Id,
-        /// Its try.
+        /// The attempt of the request.
         attempt: u32,
         /// The engines, several for a gang.
         engines: Vec<Name>,
     },
-    /// Tell an entry host that its request is refused here.
+    /// Refuse a request of an entry host.
     Refuse {
         /// The entry host.
         to: Name,
         /// The request.
         request: Id,
-        /// Its try.
+        /// The attempt of the request.
         attempt: u32,
-        /// The answer.
+        /// The reason.
         refusal: Refusal,
     },
     /// Reserve memory at an engine.
     Reserve {
         /// The engine.
         engine: Name,
-        /// The entry host that it is held for.
+        /// The entry host that will hold the reservation.
         holder: Name,
         /// The request.
         request: Id,
-        /// Memory in tokens.
+        /// KV memory in tokens.
         tokens: u64,
     },
-    /// Free what an engine holds for a request.
+    /// Free the memory that an engine holds for a request.
     Free {
         /// The engine.
         engine: Name,
         /// The request.
         request: Id,
     },
-    /// Ask an entry host whether a holding is still wanted.
+    /// Ask an entry host whether it still needs a holding.
     Verify {
         /// The entry host.
         to: Name,
@@ -108,51 +108,53 @@
     },
 }
 
-/// How an attempt that was granted ended.
+/// How a granted attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// It ended by itself, or was cancelled and the engine confirmed it.
+    /// The attempt ended by itself, or was cancelled and the engine confirmed it.
     Left,
-    /// It was never sent.
+    /// The request was never sent.
     Declined,
-    /// The engine said that it has no room.
+    /// The engine reported that it has no room.
     NoRoom,
     /// The engine failed or didn't answer.
     Failed,
-    /// The engine said that it is leaving.
+    /// The engine reported that it is leaving.
     Leaving,
 }
 
-/// What others may know of a cell's load.
+/// Load summary of a cell, published to other hosts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
     /// The cell.
     pub cell: Key,
-    /// Engines that take work.
+    /// Number of engines that accept work.
     pub open: u32,
-    /// Expected wait of each lane, most urgent first.
+    /// Expected wait in each lane, most urgent first.
     pub waits: [Duration; crate::lane::COUNT],
-    /// The largest need that the open engines can hold together, in tokens.
+    /// KV memory of the largest request that the live engines together can hold, in tokens.
     pub largest: u64,
 }
 
-/// The first guess of how long a stream holds its slot.
-const FIRST_HOLD: Duration = Duration::from_secs(4);
-/// Workspaces looked at in a lane for one whose request fits.
-const HEADS: usize = 8;
-/// A request that has left is remembered for this long, because reports lag.
-const DEPARTED_LIFE: Duration = Duration::from_secs(5);
-/// How fast the measured short load follows.
-const BUSY_WINDOW: Duration = Duration::from_secs(2);
+/// Initial estimate of the time that a stream occupies its slot.
+const INITIAL_SLOT_TIME: Duration = Duration::from_secs(4);
+/// Maximum number of workspaces of a lane whose next request is checked for a fit.
+const MAX_HEADS: usize = 8;
+/// How long a finished request is remembered, because engine reports lag behind.
+const DEPARTED_RETENTION: Duration = Duration::from_secs(5);
+/// Time constant of the moving sum of short prefill time.
+const SHORT_LOAD_DECAY: Duration = Duration::from_secs(2);
 
-/// What was granted to a request.
+/// The engines granted to a request.
 #[derive(Debug, Default)]
 struct Granted {
     attempt: u32,
     engines: Vec<Name>,
 }
 
-/// The home's state of one cell. All of it is soft: a new home starts empty and learns.
+/// The home's state of one cell.
+///
+/// All of it is soft state: a new home starts empty and rebuilds it from engine reports.
 #[derive(Debug)]
 pub struct Cell {
     /// The cell.
@@ -163,23 +165,23 @@
     granted: HashMap<Id, Granted>,
     departed: HashMap<Id, Time>,
     forming: Option<Gang>,
-    hold: Average,
-    busy: Busy,
+    slot_time: Average,
+    short_load: ShortLoad,
     actions: Vec<Action>,
 }
 
-/// How busy short prefill keeps the engines, as a decaying sum.
+/// Engine time used by short prefills, as an exponentially decaying sum.
 #[derive(Debug, Clone, Copy)]
-struct Busy {
+struct ShortLoad {
     micros: f64,
     at: Time,
 }
 
-impl Busy {
+impl ShortLoad {
     fn decay(&mut self, now: Time) {
-        let passed = now.since(self.at).as_secs_f64();
+        let elapsed = now.since(self.at).as_secs_f64();
         self.at = now;
-        self.micros *= (-passed / BUSY_WINDOW.as_secs_f64()).exp();
+        self.micros *= (-elapsed / SHORT_LOAD_DECAY.as_secs_f64()).exp();
     }
 
     fn add(&mut self, micros: u64, now: Time) {
@@ -189,12 +191,12 @@
 
     fn per_mille(&mut self, now: Time) -> u64 {
         self.decay(now);
-        (self.micros * 1_000.0 / BUSY_WINDOW.as_micros() as f64) as u64
+        (self.micros * 1_000.0 / SHORT_LOAD_DECAY.as_micros() as f64) as u64
     }
 }
 
 impl Cell {
-    /// Starts a cell without engines.
+    /// Creates a cell without engines.
     pub fn new(key: Key, config: placement::Config, now: Time) -> Cell {
         Cell {
             key,
@@ -204,8 +206,8 @@
             granted: HashMap::new(),
             departed: HashMap::new(),
             forming: None,
-            hold: Average::new(FIRST_HOLD),
-            busy: Busy {
+            slot_time: Average::new(INITIAL_SLOT_TIME),
+            short_load: ShortLoad {
                 micros: 0.0,
                 at: now,
             },
@@ -213,7 +215,7 @@
         }
     }
 
-    /// Takes the engines from settings; pages of engines that stay are kept.
+    /// Sets the engines from the settings. Engines that remain keep their state.
     pub fn set_engines(&mut self, tree: &Tree, names: &[Name], now: Time) {
         self.engines.retain(names);
         for name in names {
@@ -227,34 +229,36 @@
         }
     }
 
-    /// Gives what the home wants done since it was last asked.
+    /// Returns and clears the pending actions.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Gives how many requests wait.
+    /// Returns the number of waiting requests, including one whose gang is being formed.
     pub fn waiting(&self) -> usize {
         self.queue.len() + usize::from(self.forming.is_some())
     }
 
-    /// Gives how many requests run.
+    /// Returns the number of granted requests.
     pub fn running(&self) -> usize {
         self.granted.len()
     }
 
-    /// Gives the engines' pages of the book.
+    /// Returns the state of all engines, ordered by name.
     pub fn engines(&self) -> impl Iterator<Item = &Engine> + Clone {
         self.engines.iter()
     }
 
-    /// Takes a request from an entry host. A request that is here already is left as it is.
+    /// Queues a request of an entry host and grants it if possible.
+    ///
+    /// A request that is already known stays unchanged; only its confirmation or grant is sent again.
     pub fn enqueue(&mut self, from: &Name, ticket: Ticket, now: Time) {
         let (request, attempt) = (ticket.id, ticket.attempt);
         if self.queue.contains(request) || self.is_forming(request) {
-            self.note_queued(from, request, attempt);
+            self.confirm_queued(from, request, attempt);
             return;
         }
-        if self.grant_again(from, request, attempt, now) {
+        if self.resend_grant(from, request, attempt, now) {
             return;
         }
         if let Err(refusal) = self.admit(&ticket, now) {
@@ -274,15 +278,16 @@
             ticket,
         });
         self.pump(now);
-        // A request that is granted at once needs no further word.
+        // A request that was granted immediately needs no confirmation.
         if !self.granted.contains_key(&request) {
-            self.note_queued(from, request, attempt);
+            self.confirm_queued(from, request, attempt);
         }
     }
 
-    /// Repeats a grant whose news was lost. A newer try means that the news of the older one's end
-    /// was lost.
-    fn grant_again(&mut self, to: &Name, request: Id, attempt: u32, now: Time) -> bool {
+    /// Sends a grant again whose message was lost. Returns whether the request holds a grant.
+    ///
+    /// A newer attempt means that the message about the end of the older attempt was lost.
+    fn resend_grant(&mut self, to: &Name, request: Id, attempt: u32, now: Time) -> bool {
         let Some(granted) = self.granted.get(&request) else {
             return false;
         };
@@ -299,7 +304,7 @@
         true
     }
 
-    fn note_queued(&mut self, to: &Name, request: Id, attempt: u32) {
+    fn confirm_queued(&mut self, to: &Name, request: Id, attempt: u32) {
         let to = to.clone();
         self.actions.push(Action::Queued {
             to,
@@ -311,26 +316,26 @@
     fn admit(&mut self, ticket: &Ticket, now: Time) -> Result<(), Refusal> {
         let summary = self.summary(now);
         if ticket.need() > summary.largest {
-            let later = admission::come_back(Duration::ZERO, ticket.id);
-            return Err(Refusal::new(Kind::NoCapacity, later));
+            let retry_after = admission::come_back(Duration::ZERO, ticket.id);
+            return Err(Refusal::new(Kind::NoCapacity, retry_after));
         }
-        // A retry was admitted before; its place is kept, its deadline still holds.
+        // A retry was admitted before and keeps its deadline.
         if ticket.attempt > 1 {
             return Ok(());
         }
         let capacity = self.capacity(now);
         admission::admit(&self.queue, &capacity, ticket)
-            .map_err(|later| Refusal::new(Kind::Overloaded, later))
+            .map_err(|retry_after| Refusal::new(Kind::Overloaded, retry_after))
     }
 
     fn summary(&mut self, now: Time) -> Summary {
-        self.engines.summary(self.hold.get(), now)
+        self.engines.summary(self.slot_time.get(), now)
     }
 
-    /// Sums up what the cell can do, a gang that is being formed included.
+    /// Returns the cell's capacity and load, including a gang that is being formed.
     pub fn capacity(&mut self, now: Time) -> Capacity {
         let mut capacity = self.summary(now).capacity;
-        capacity.long_under_way += self.forming_tokens();
+        capacity.long_pending_tokens += self.forming_tokens();
         capacity
     }
 
@@ -339,56 +344,57 @@
         forming.map_or(0, |gang| gang.entry.ticket.prompt)
     }
 
-    fn long_bound(&mut self, now: Time) -> usize {
+    fn max_long_engines(&mut self, now: Time) -> usize {
         let capacity = self.capacity(now);
-        let busy = self.busy.per_mille(now);
+        let busy = self.short_load.per_mille(now);
         let first = self.queue.peek(Lane::Long);
         let demand = placement::Demand {
-            tokens: self.queue.tokens(Lane::Long) + capacity.long_under_way,
+            tokens: self.queue.tokens(Lane::Long) + capacity.long_pending_tokens,
             slack: first.map_or(Duration::MAX, |entry| entry.deadline.left(now)),
             rate: capacity.rate.max(1),
         };
-        placement::long_bound(&self.config, capacity.engines as usize, busy, demand)
+        placement::max_long_engines(&self.config, capacity.engines as usize, busy, demand)
     }
 
-    /// Takes a request back that its entry host no longer wants.
+    /// Removes a waiting request that its entry host has withdrawn.
     pub fn withdraw(&mut self, request: Id) {
         self.queue.remove(request);
         if self.is_forming(request) {
-            self.break_up();
+            self.release_members();
             self.forming = None;
         }
     }
 
-    /// Lets time pass: answers what is overdue, forms gangs, grants what fits.
+    /// Performs periodic work: refuses expired requests, forms gangs, grants requests that fit.
     pub fn tick(&mut self, now: Time) {
-        self.engines.age_summary();
-        while let Some(entry) = self.queue.expired(now) {
+        self.engines.expire_summary();
+        while let Some(entry) = self.queue.pop_expired(now) {
             self.refuse_expired(&entry);
         }
         self.tick_forming(now);
         self.sweep(now);
         self.pump(now);
-        self.queue.tidy();
-        self.departed.retain(|_, at| now.since(*at) < DEPARTED_LIFE);
+        self.queue.remove_idle_workspaces();
+        self.departed
+            .retain(|_, at| now.since(*at) < DEPARTED_RETENTION);
     }
 
     fn refuse_expired(&mut self, entry: &Entry) {
-        let later = admission::come_back(Duration::ZERO, entry.ticket.id);
+        let retry_after = admission::come_back(Duration::ZERO, entry.ticket.id);
         self.actions.push(Action::Refuse {
             to: entry.from.clone(),
             request: entry.ticket.id,
             attempt: entry.ticket.attempt,
-            refusal: Refusal::new(Kind::ExpiredWaiting, later),
+            refusal: Refusal::new(Kind::ExpiredWaiting, retry_after),
         });
     }
 
-    /// Describes the cell's load to others.
+    /// Returns a summary of the cell's load for other hosts.
     pub fn digest(&mut self, now: Time) -> Digest {
         let capacity = self.capacity(now);
         let waits = Lane::ALL.map(|lane| {
             let probe = probe(&self.key, lane);
-            admission::wait(&self.queue, &capacity, &probe)
+            admission::queue_wait(&self.queue, &capacity, &probe)
         });
         Digest {
             cell: self.key.clone(),
@@ -399,7 +405,7 @@
     }
 }
 
-/// A request of no size, for asking how long a lane waits.
+/// Creates a request of size zero, used to estimate the wait in a lane.
 fn probe(key: &Key, lane: Lane) -> Ticket {
     Ticket {
         id: Id::default(),
@@ -417,7 +423,7 @@
     }
 }
 
-/// Splits the engines of the settings into cells, each with its engines in the order of names.
+/// Splits the engines of the settings into cells. The engines of a cell are ordered by name.
 pub fn split(tree: &Tree) -> BTreeMap<Key, Vec<Name>> {
     let mut groups: BTreeMap<(Name, Name), Vec<Name>> = BTreeMap::new();
     for (name, engine) in &tree.fleet.engines {
@@ -427,13 +433,13 @@
     let size = tree.fleet.cell_size();
     let mut cells = BTreeMap::new();
     for ((domain, model), names) in groups {
-        for (index, part) in names.chunks(size).enumerate() {
+        for (index, engines) in names.chunks(size).enumerate() {
             let key = Key {
                 domain: domain.clone(),
                 model: model.clone(),
                 index: index as u32,
             };
-            cells.insert(key, part.to_vec());
+            cells.insert(key, engines.to_vec());
         }
     }
     cells
--- a/crates/alderglade-core/src/cell/forming.rs
+++ b/crates/alderglade-core/src/cell/forming.rs
@@ -1,20 +1,21 @@
-//! Forming a gang, step by step, and giving everything back when it fails.
+//! Forms a gang step by step, and releases everything if that fails.
 
 use super::{Action, Cell};
 use crate::Name;
-use crate::gang::{self, BACK_OFF, Gang, RESERVE_LIMIT, Stage};
+use crate::gang::{self, Gang, REPLAN_DELAY, RESERVE_TIMEOUT, Stage};
 use crate::queue::Entry;
 use crate::request::Id;
 use crate::time::Time;
 
 impl Cell {
-    /// Says whether the gang that is being formed is for this request.
+    /// Returns whether a gang is being formed for this request.
     pub(super) fn is_forming(&self, request: Id) -> bool {
         let forming = self.forming.as_ref();
         forming.is_some_and(|gang| gang.entry.ticket.id == request)
     }
 
-    /// Says whether work that ends at `ends` may use an engine that a gang waits for.
+    /// Returns whether a request that ends at `ends` may run on `engine`. An engine that a gang waits
+    /// for accepts only requests that end before the planned start of the gang.
     pub(super) fn may_backfill(&self, engine: &Name, ends: Time) -> bool {
         match &self.forming {
             Some(gang) if gang.members.contains(engine) => ends <= gang.start,
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Begins to form a gang; says whether the request left the queue.
+    /// Starts to form a gang. Returns whether the request was removed from the queue.
     pub(super) fn start_forming(&mut self, entry: &Entry, now: Time) -> bool {
         if self.forming.is_some() {
             return false;
@@ -36,7 +37,7 @@
         true
     }
 
-    /// Moves the gang on as far as it goes.
+    /// Advances the gang that is being formed as far as possible.
     pub(super) fn tick_forming(&mut self, now: Time) {
         let Some(gang) = &self.forming else {
             return;
@@ -47,30 +48,30 @@
         }
         match gang.stage {
             Stage::Draining => self.drain_members(now),
-            Stage::Reserving { since, .. } if now.since(since) > RESERVE_LIMIT => {
+            Stage::Reserving { since, .. } if now.since(since) > RESERVE_TIMEOUT => {
                 self.back_off(now);
             }
-            Stage::BackingOff { until } if now >= until => self.plan_again(now),
+            Stage::BackingOff { until } if now >= until => self.replan(now),
             Stage::Reserving { .. } | Stage::BackingOff { .. } => {}
         }
     }
 
-    /// Sets memory aside at each member that has enough; reserves once all have.
+    /// Sets memory aside at each member that has enough. Starts to reserve once all members have it.
     fn drain_members(&mut self, now: Time) {
         let Some(gang) = &mut self.forming else {
             return;
         };
-        let open = |name: &Name| self.engines.get(name).is_some_and(|e| e.is_open(now));
-        if !gang.members.iter().all(open) {
-            self.plan_again(now);
+        let is_open = |name: &Name| self.engines.get(name).is_some_and(|e| e.is_open(now));
+        if !gang.members.iter().all(is_open) {
+            self.replan(now);
             return;
         }
-        let share = gang.share;
+        let member_tokens = gang.member_tokens;
         let mut ready = true;
         for name in &gang.members {
             let set_aside = self.engines.change(name, |engine| {
-                if engine.reserved == 0 && engine.free() >= share {
-                    engine.reserved = share;
+                if engine.reserved == 0 && engine.free() >= member_tokens {
+                    engine.reserved = member_tokens;
                 }
                 engine.reserved > 0
             });
@@ -96,14 +97,13 @@
             engine: gang.members[agreed].clone(),
             holder: gang.entry.from.clone(),
             request: gang.entry.ticket.id,
-            tokens: gang.share,
+            tokens: gang.member_tokens,
         });
     }
 
-    /// Takes an engine's answer to a reservation.
+    /// Handles an engine's answer to a reservation.
     pub fn reserved(&mut self, engine: &Name, request: Id, agreed: bool, now: Time) {
-        let expected = self.expects_answer(engine, request);
-        if !expected {
+        if !self.awaits_answer(engine, request) {
             if agreed && !self.granted.contains_key(&request) {
                 let engine = engine.clone();
                 self.actions.push(Action::Free { engine, request });
@@ -128,7 +128,7 @@
         }
     }
 
-    fn expects_answer(&self, engine: &Name, request: Id) -> bool {
+    fn awaits_answer(&self, engine: &Name, request: Id) -> bool {
         let Some(gang) = &self.forming else {
             return false;
         };
@@ -144,9 +144,9 @@
         };
         self.clear_reserved(&gang);
         for name in &gang.members {
-            self.book(&gang.entry, name, gang.share, now);
+            self.record_grant(&gang.entry, name, gang.member_tokens, now);
         }
-        self.announce(&gang.entry, gang.members);
+        self.send_grant(&gang.entry, gang.members);
     }
 
     fn clear_reserved(&mut self, gang: &Gang) {
@@ -155,10 +155,10 @@
         }
     }
 
-    /// Gives back whatever the gang holds, at the book and at the engines.
+    /// Releases all memory of the gang, in the home's state and at the engines.
     ///
-    /// The engine asked last may have agreed without its answer having come: it is told too.
-    pub(super) fn break_up(&mut self) {
+    /// The last member may have agreed although its answer hasn't arrived, so it is freed too.
+    pub(super) fn release_members(&mut self) {
         let Some(gang) = self.forming.clone() else {
             return;
         };
@@ -175,16 +175,16 @@
     }
 
     fn back_off(&mut self, now: Time) {
-        self.break_up();
+        self.release_members();
         if let Some(gang) = &mut self.forming {
             gang.stage = Stage::BackingOff {
-                until: now + BACK_OFF,
+                until: now + REPLAN_DELAY,
             };
         }
     }
 
-    fn plan_again(&mut self, now: Time) {
-        self.break_up();
+    fn replan(&mut self, now: Time) {
+        self.release_members();
         let Some(old) = self.forming.take() else {
             return;
         };
@@ -195,7 +195,7 @@
     }
 
     fn expire_forming(&mut self) {
-        self.break_up();
+        self.release_members();
         if let Some(gang) = self.forming.take() {
             self.refuse_expired(&gang.entry);
         }
--- a/crates/alderglade-core/src/cell/grants.rs
+++ b/crates/alderglade-core/src/cell/grants.rs
@@ -1,6 +1,6 @@
-//! Granting: the request that goes next meets an engine with room.
+//! Granting: assigns the next request of each lane to an engine with room for it.
 
-use super::{Action, Cell, End, Granted, HEADS};
+use super::{Action, Cell, End, Granted, MAX_HEADS};
 use crate::Name;
 use crate::admission;
 use crate::book::Running;
@@ -11,11 +11,11 @@
 use crate::time::Time;
 
 impl Cell {
-    /// Grants whatever fits, most urgent lane first.
+    /// Grants all requests that fit, most urgent lane first.
     ///
-    /// A lane whose next request fits nowhere doesn't hold up the lanes behind it: they need
-    /// other room (long work has engines of its own), and the guard on short work beside a long
-    /// prefill keeps the lanes apart.
+    /// The standard lane is served only while the urgent lane is empty. Long requests are granted even
+    /// while the next short request fits nowhere: the engines for long prefills are limited separately,
+    /// and the share of short requests during a long prefill keeps the two apart.
     pub(super) fn pump(&mut self, now: Time) {
         while self.grant_short(Lane::Urgent, now) {}
         if self.queue.count(Lane::Urgent) == 0 {
@@ -38,15 +38,15 @@
         true
     }
 
-    /// Answers requests that could not finish in time even if an engine began on them now: to
-    /// start them would only take the time of those that can.
+    /// Refuses requests that couldn't finish in time even if an engine started them now. Running them
+    /// would only take time from requests that can finish.
     fn refuse_hopeless(&mut self, lane: Lane, now: Time) {
         let capacity = self.summary(now).capacity;
         if capacity.engines == 0 {
             return;
         }
         while let Some(entry) = self.queue.peek(lane) {
-            let needed = admission::service(&capacity, &entry.ticket, true);
+            let needed = admission::service_time(&capacity, &entry.ticket, true);
             if entry.ticket.attempt > 1 || now + needed <= entry.deadline {
                 return;
             }
@@ -64,7 +64,7 @@
         if let Some(entry) = self.next_gang(now) {
             return self.start_forming(&entry, now);
         }
-        if self.engines.long_engines() >= self.long_bound(now) {
+        if self.engines.long_engines() >= self.max_long_engines(now) {
             return false;
         }
         let Some((id, engine)) = self.pick_long(now) else {
@@ -74,23 +74,25 @@
         true
     }
 
-    /// Gives the next request that needs a gang, if one may be formed now.
+    /// Returns the next request that needs a gang, if a gang may be formed now.
     fn next_gang(&mut self, now: Time) -> Option<Entry> {
         if self.forming.is_some() {
             return None;
         }
-        let single = self.summary(now).single;
-        let mut heads = self.queue.heads(Lane::Long, HEADS);
-        heads.find(|entry| entry.ticket.need() > single).cloned()
+        let max_single = self.summary(now).max_single;
+        let mut heads = self.queue.heads(Lane::Long, MAX_HEADS);
+        heads
+            .find(|entry| entry.ticket.need() > max_single)
+            .cloned()
     }
 
-    /// Finds the next long request that fits an engine.
+    /// Returns the next long request that fits into an engine, and that engine.
     fn pick_long(&mut self, now: Time) -> Option<(Id, Name)> {
         let summary = self.summary(now);
-        let heads = self.queue.heads(Lane::Long, HEADS);
-        let mut fitting = heads.filter(|entry| entry.ticket.need() <= summary.roomiest);
+        let heads = self.queue.heads(Lane::Long, MAX_HEADS);
+        let mut fitting = heads.filter(|entry| entry.ticket.need() <= summary.max_long_room);
         fitting.find_map(|entry| {
-            let ends = now + admission::service(&summary.capacity, &entry.ticket, true);
+            let ends = now + admission::service_time(&summary.capacity, &entry.ticket, true);
             let free = self
                 .engines
                 .iter()
@@ -105,22 +107,22 @@
             return;
         };
         let need = entry.ticket.need();
-        self.book(&entry, &engine, need, now);
-        self.announce(&entry, vec![engine]);
+        self.record_grant(&entry, &engine, need, now);
+        self.send_grant(&entry, vec![engine]);
     }
 
-    /// Notes a granted request on one engine's page.
-    pub(super) fn book(&mut self, entry: &Entry, name: &Name, need: u64, now: Time) {
-        let ends = self.expected_end(&entry.ticket, now);
+    /// Records a granted request in the state of one engine.
+    pub(super) fn record_grant(&mut self, entry: &Entry, name: &Name, need: u64, now: Time) {
+        let expected_end = self.expected_end(&entry.ticket, now);
         let Some(engine) = self.engines.get(name) else {
             return;
         };
-        let prefill = engine.prefill_of(&entry.ticket);
+        let prefill = engine.prefill_tokens(&entry.ticket);
         if entry.ticket.lane != Lane::Long {
             let micros = prefill * 1_000_000 / engine.rate;
-            self.busy.add(micros, now);
+            self.short_load.add(micros, now);
         }
-        self.engines.note_prefix(&entry.ticket, name);
+        self.engines.record_prefix(&entry.ticket, name);
         let running = Running {
             from: entry.from.clone(),
             lane: entry.ticket.lane,
@@ -128,18 +130,18 @@
             need,
             since: now,
             deadline: entry.deadline,
-            ends,
+            expected_end,
             decoding: false,
-            seen: now,
+            last_seen: now,
         };
         self.engines.change(name, |engine| {
-            engine.expect_prefix(&entry.ticket);
+            engine.record_prefix(&entry.ticket);
             engine.grant(entry.ticket.id, running, now);
         });
     }
 
-    /// Tells the entry host to send its request.
-    pub(super) fn announce(&mut self, entry: &Entry, engines: Vec<Name>) {
+    /// Grants engines to the entry host, which then sends its request.
+    pub(super) fn send_grant(&mut self, entry: &Entry, engines: Vec<Name>) {
         let granted = Granted {
             attempt: entry.ticket.attempt,
             engines: engines.clone(),
@@ -155,10 +157,10 @@
 
     fn expected_end(&mut self, ticket: &Ticket, now: Time) -> Time {
         let capacity = self.summary(now).capacity;
-        now + admission::service(&capacity, ticket, true)
+        now + admission::service_time(&capacity, ticket, true)
     }
 
-    /// Notes that a request's first token has come.
+    /// Records the first token of a request.
     pub fn first_token(&mut self, request: Id, now: Time) {
         let Some(granted) = self.granted.get(&request) else {
             return;
@@ -170,30 +172,30 @@
         self.pump(now);
     }
 
-    /// Notes that a granted request has left its engines.
+    /// Records the end of a granted request and frees its engines.
     pub fn done(&mut self, request: Id, end: End, now: Time) {
         let Some(Granted { engines, .. }) = self.granted.remove(&request) else {
             return;
         };
         self.departed.insert(request, now);
         for name in &engines {
-            self.leave(name, request, end, engines.len() == 1, now);
+            self.release_engine(name, request, end, engines.len() == 1, now);
         }
         self.pump(now);
     }
 
-    fn leave(&mut self, name: &Name, request: Id, end: End, alone: bool, now: Time) {
+    fn release_engine(&mut self, name: &Name, request: Id, end: End, alone: bool, now: Time) {
         let running = self.engines.change(name, |engine| {
             match end {
                 End::Leaving => engine.leaving = true,
-                // Which member of a gang has failed is not known; the reports will tell.
+                // It is unknown which member of a gang has failed; the engine reports will show it.
                 End::Failed => engine.suspect |= alone,
                 End::Left | End::Declined | End::NoRoom => {}
             }
             engine.release(request)
         });
         if let (End::Left, Some(Some(running))) = (end, running) {
-            self.hold.add(now.since(running.since));
+            self.slot_time.add(now.since(running.since));
         }
     }
 }
--- a/crates/alderglade-core/src/cell/pool.rs
+++ b/crates/alderglade-core/src/cell/pool.rs
@@ -1,8 +1,8 @@
-//! The engines of a cell, indexed so that a decision looks at a few of them.
+//! The engines of a cell, indexed so that a decision has to examine only a few of them.
 //!
-//! Every change of an engine goes through [`Pool::change`], which keeps the index right. What a
-//! decision needs of all engines together is summed up now and then ([`Pool::summary`]): an
-//! estimate that is some milliseconds old is as good as the load reports it rests on.
+//! Every change of an engine goes through [`Pool::change`], which updates the index. Totals over all
+//! engines are cached for a short time ([`Pool::summary`]). A total that is some milliseconds old is
+//! as accurate as the load reports on which it is based.
 
 use crate::Name;
 use crate::admission::Capacity;
@@ -14,98 +14,99 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// A summary is good for this long, unless an engine comes or goes. Each tick makes a new one, so
-/// that decisions between ticks don't pay for it.
-const SUMMARY_LIFE: Duration = Duration::from_millis(50);
-/// Engines compared in detail for one short request.
-const COMPARED: usize = 8;
-/// Prefixes whose engine is remembered.
-const MOST_PREFIXES: usize = 4_096;
+/// Maximum age of a summary. It is also recomputed when an engine is added, removed or changes its
+/// state, and on each tick, so that decisions between ticks don't have to compute it.
+const SUMMARY_MAX_AGE: Duration = Duration::from_millis(50);
+/// Maximum number of ranked engines compared in detail for one short request.
+const MAX_COMPARED: usize = 8;
+/// Maximum number of prefixes whose engine is tracked. The map is cleared when it is full.
+const MAX_PREFIXES: usize = 4_096;
 
-/// What all engines are together.
+/// Totals over all engines.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(super) struct Summary {
-    /// What the open engines can do.
+    /// Capacity and load of the open engines.
     pub capacity: Capacity,
-    /// The largest need that the live engines can hold together, in tokens.
+    /// KV memory of the largest request that the live engines together can hold, in tokens.
     pub largest: u64,
-    /// The largest need that one open engine can hold, in tokens.
-    pub single: u64,
-    /// The largest long need that an engine has room for now, in tokens.
-    pub roomiest: u64,
+    /// KV memory of the largest request that one open engine can hold, in tokens.
+    pub max_single: u64,
+    /// KV memory of the largest long request that one open engine has room for now, in tokens.
+    pub max_long_room: u64,
 }
 
-/// An engine's place among those with room for short work, soonest first token first.
+/// Sort key of an engine with room for short requests: time to first token, running requests, name.
 type Rank = (Duration, usize, Name);
 
+/// The state of an engine as it is counted in the index.
 #[derive(Debug, Default)]
-struct Noted {
+struct Indexed {
     rank: Option<Rank>,
     prefills_long: bool,
 }
 
-/// The engines.
+/// The engines of a cell and their index.
 #[derive(Debug)]
 pub(super) struct Pool {
     config: Config,
     engines: BTreeMap<Name, Engine>,
     order: BTreeSet<Rank>,
-    noted: HashMap<Name, Noted>,
+    indexed: HashMap<Name, Indexed>,
     prefixes: HashMap<u64, Name>,
     long_engines: usize,
     summary: Summary,
-    summed: Option<Time>,
+    summarized_at: Option<Time>,
 }
 
 impl Pool {
-    /// Starts without engines.
+    /// Creates an empty pool.
     pub(super) fn new(config: Config) -> Pool {
         Pool {
             config,
             engines: BTreeMap::new(),
             order: BTreeSet::new(),
-            noted: HashMap::new(),
+            indexed: HashMap::new(),
             prefixes: HashMap::new(),
             long_engines: 0,
             summary: Summary::default(),
-            summed: None,
+            summarized_at: None,
         }
     }
 
-    /// Looks at an engine.
+    /// Returns an engine.
     pub(super) fn get(&self, name: &Name) -> Option<&Engine> {
         self.engines.get(name)
     }
 
-    /// Looks at all engines, in the order of their names.
+    /// Returns all engines, ordered by name.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Engine> + Clone {
         self.engines.values()
     }
 
-    /// Puts an engine in, unless it is there.
+    /// Adds an engine unless it is present.
     pub(super) fn insert(&mut self, engine: Engine) {
         let name = engine.name.clone();
         self.engines.entry(name.clone()).or_insert(engine);
         self.index(&name);
-        self.summed = None;
+        self.summarized_at = None;
     }
 
-    /// Keeps only some engines.
+    /// Removes all engines except those in `names`.
     pub(super) fn retain(&mut self, names: &[Name]) {
-        let gone: Vec<Name> = self
+        let removed: Vec<Name> = self
             .engines
             .keys()
             .filter(|name| !names.contains(name))
             .cloned()
             .collect();
-        for name in gone {
+        for name in removed {
             self.engines.remove(&name);
             self.index(&name);
         }
-        self.summed = None;
+        self.summarized_at = None;
     }
 
-    /// Changes an engine and keeps the index right.
+    /// Changes an engine and updates the index. Returns `None` if the engine is unknown.
     pub(super) fn change<T>(
         &mut self,
         name: &Name,
@@ -116,62 +117,64 @@
         let result = change(engine);
         let after = (engine.leaving, engine.suspect, engine.incarnation);
         if before != after {
-            self.summed = None;
+            self.summarized_at = None;
         }
         self.index(name);
         Some(result)
     }
 
-    /// Changes every engine; the sums are made anew.
+    /// Changes every engine and invalidates the summary.
     pub(super) fn change_all(&mut self, change: impl Fn(&mut Engine)) {
         let names: Vec<Name> = self.engines.keys().cloned().collect();
         for name in &names {
             self.change(name, &change);
         }
-        self.age_summary();
+        self.expire_summary();
     }
 
     fn index(&mut self, name: &Name) {
         let engine = self.engines.get(name);
-        let roomy = engine.filter(|engine| placement::has_room(&self.config, engine));
-        let rank = roomy.map(|engine| {
-            let soonest = placement::first_token_of(engine, placement::TYPICAL_PROMPT);
-            (soonest, engine.running.len(), name.clone())
+        let available = engine.filter(|engine| placement::has_room(&self.config, engine));
+        let rank = available.map(|engine| {
+            let first_token = placement::first_token_of(engine, placement::TYPICAL_PROMPT_TOKENS);
+            (first_token, engine.running.len(), name.clone())
         });
         let prefills_long = engine.is_some_and(|engine| engine.long_prefills() > 0);
-        let noted = self.noted.entry(name.clone()).or_default();
-        if noted.rank != rank {
-            if let Some(old) = noted.rank.take() {
+        let indexed = self.indexed.entry(name.clone()).or_default();
+        if indexed.rank != rank {
+            if let Some(old) = indexed.rank.take() {
                 self.order.remove(&old);
             }
             self.order.extend(rank.clone());
-            noted.rank = rank;
+            indexed.rank = rank;
         }
-        self.long_engines -= usize::from(noted.prefills_long);
+        self.long_engines -= usize::from(indexed.prefills_long);
         self.long_engines += usize::from(prefills_long);
-        noted.prefills_long = prefills_long;
+        indexed.prefills_long = prefills_long;
         if engine.is_none() {
-            self.noted.remove(name);
+            self.indexed.remove(name);
         }
     }
 
-    /// Gives how many engines prefill a long prompt.
+    /// Returns the number of engines that are prefilling a long prompt.
     pub(super) fn long_engines(&self) -> usize {
         self.long_engines
     }
 
-    /// Remembers where a prompt's shared beginning will be cached.
-    pub(super) fn note_prefix(&mut self, ticket: &Ticket, engine: &Name) {
+    /// Records the engine at which the prompt's shared prefix will be cached.
+    pub(super) fn record_prefix(&mut self, ticket: &Ticket, engine: &Name) {
         if let Some(prefix) = ticket.prefix {
-            if self.prefixes.len() >= MOST_PREFIXES {
+            if self.prefixes.len() >= MAX_PREFIXES {
                 self.prefixes.clear();
             }
             self.prefixes.insert(prefix.key, engine.clone());
         }
     }
 
-    /// Picks an engine for short work: the best of the first few that take it, and of the one
-    /// that has its prefix.
+    /// Selects an engine for a short request.
+    ///
+    /// Compares the highest-ranked engines that accept the request, and the engine that is expected to
+    /// have its prefix cached.
     pub(super) fn pick_short(&self, ticket: &Ticket, now: Time) -> Option<&Engine> {
         let config = &self.config;
         let prefix = ticket
@@ -182,30 +185,33 @@
             .order
             .iter()
             .filter_map(|(_, _, name)| self.engines.get(name));
-        let taking = ordered.filter(|engine| placement::takes_short(config, engine, ticket, now));
-        let few = taking.take(COMPARED);
-        placement::pick_short(config, few.chain(cached), ticket, now)
+        let accepting =
+            ordered.filter(|engine| placement::accepts_short(config, engine, ticket, now));
+        let candidates = accepting.take(MAX_COMPARED);
+        placement::pick_short(config, candidates.chain(cached), ticket, now)
     }
 
-    /// Has the next summary made anew.
-    pub(super) fn age_summary(&mut self) {
-        self.summed = None;
+    /// Invalidates the cached summary.
+    pub(super) fn expire_summary(&mut self) {
+        self.summarized_at = None;
     }
 
-    /// Sums up the engines; the sum may be a few milliseconds old.
-    pub(super) fn summary(&mut self, hold: Duration, now: Time) -> Summary {
-        let fresh = self.summed.is_some_and(|at| now.since(at) < SUMMARY_LIFE);
+    /// Returns the totals over all engines, which may be a few milliseconds old.
+    pub(super) fn summary(&mut self, slot_time: Duration, now: Time) -> Summary {
+        let fresh = self
+            .summarized_at
+            .is_some_and(|at| now.since(at) < SUMMARY_MAX_AGE);
         if !fresh {
-            self.summary = self.sum_up(hold, now);
-            self.summed = Some(now);
+            self.summary = self.summarize(slot_time, now);
+            self.summarized_at = Some(now);
         }
         self.summary
     }
 
-    fn sum_up(&self, hold: Duration, now: Time) -> Summary {
+    fn summarize(&self, slot_time: Duration, now: Time) -> Summary {
         let mut summary = Summary {
             capacity: Capacity {
-                hold,
+                slot_time,
                 ..Capacity::default()
             },
             ..Summary::default()
@@ -214,9 +220,9 @@
             let usable = gang::usable(engine);
             summary.largest += usable;
             if !engine.suspect {
-                summary.single = summary.single.max(usable);
+                summary.max_single = summary.max_single.max(usable);
                 let room = placement::long_room(&self.config, engine);
-                summary.roomiest = summary.roomiest.max(room);
+                summary.max_long_room = summary.max_long_room.max(room);
                 summary.capacity.add(engine, now);
             }
         }
--- a/crates/alderglade-core/src/cell/reports.rs
+++ b/crates/alderglade-core/src/cell/reports.rs
@@ -1,9 +1,9 @@
-//! Learning from engines' reports, and sweeping what nobody wants any more.
+//! Reconciles the home's state with engine reports, and frees holdings that are no longer needed.
 //!
-//! A new home knows nothing of what runs. It adopts each holding that an engine reports, counts
-//! its memory, and asks the entry host that holds it. If that host says no, or is gone for good,
-//! the holding is freed. In the other direction, what the book has and reports no longer show is
-//! dropped from the book after a grace time.
+//! A new home doesn't know which requests are running. It adopts each holding that an engine reports,
+//! counts its memory, and asks the holder, an entry host, whether it is still needed. If that host
+//! says no or has died, the holding is freed. Conversely, a grant that engine reports no longer show
+//! is dropped after a timeout.
 
 use super::{Action, Cell};
 use crate::Name;
@@ -13,17 +13,17 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// A holding younger than this may belong to a grant whose news is still on its way.
-const GRACE: Duration = Duration::from_secs(2);
-/// A granted request that no report shows for this long has left.
-const UNSEEN: Duration = Duration::from_secs(5);
-/// What outlives its deadline by this much is freed.
-const OVERDUE: Duration = Duration::from_secs(3);
-/// An adopted holding is given this long before it counts as overdue.
-const ADOPTED_LIFE: Duration = Duration::from_secs(600);
+/// A holding younger than this isn't adopted: the message about its grant may still be in flight.
+const MIN_ADOPTION_AGE: Duration = Duration::from_secs(2);
+/// A granted request that no report has shown for this long counts as ended.
+const UNREPORTED_TIMEOUT: Duration = Duration::from_secs(5);
+/// A request that is still running this long after its deadline is freed.
+const OVERDUE_GRACE: Duration = Duration::from_secs(3);
+/// Assumed time to the deadline of an adopted holding, whose real deadline is unknown.
+const ADOPTED_LIFETIME: Duration = Duration::from_secs(600);
 
 impl Cell {
-    /// Takes in an engine's report.
+    /// Applies an engine's report.
     pub fn report(&mut self, report: &Report, now: Time) {
         let lost = self
             .engines
@@ -32,19 +32,19 @@
             self.granted.remove(&id);
         }
         for holding in &report.holdings {
-            self.see(&report.engine, holding, now);
+            self.reconcile(&report.engine, holding, now);
         }
         self.pump(now);
     }
 
-    fn see(&mut self, name: &Name, holding: &Holding, now: Time) {
+    fn reconcile(&mut self, name: &Name, holding: &Holding, now: Time) {
         let id = holding.request;
         let known = self.engines.change(name, |engine| {
             let running = engine.running.get_mut(&id);
-            running.map(|running| running.seen = now).is_some()
+            running.map(|running| running.last_seen = now).is_some()
         });
-        let fresh = holding.age < GRACE || self.departed.contains_key(&id);
-        if known != Some(false) || fresh || self.is_forming(id) {
+        let is_recent = holding.age < MIN_ADOPTION_AGE || self.departed.contains_key(&id);
+        if known != Some(false) || is_recent || self.is_forming(id) {
             return;
         }
         self.engines
@@ -61,51 +61,55 @@
         });
     }
 
-    /// Blames no engine for the silence of a time in which this process itself was stopped.
+    /// Extends all report timeouts by the time for which this process was stopped, so that no engine
+    /// is considered silent because of it.
     pub fn forgive(&mut self, stopped: Duration) {
         self.engines.change_all(|engine| {
             engine.reported = engine.reported + stopped;
             for running in engine.running.values_mut() {
-                running.seen = running.seen + stopped;
+                running.last_seen = running.last_seen + stopped;
             }
         });
     }
 
-    /// Takes an entry host's word that a holding isn't its own.
+    /// Frees a holding that its entry host doesn't need.
     pub fn disown(&mut self, engine: &Name, request: Id, now: Time) {
         self.free(engine.clone(), request);
         self.pump(now);
     }
 
-    /// Frees all that a dead entry host holds.
+    /// Frees all holdings of an entry host that has died.
     pub fn host_died(&mut self, host: &Name, now: Time) {
-        let orphans = self.find(|running| running.from == *host);
+        let orphans = self.find_running(|running| running.from == *host);
         for (engine, request) in orphans {
             self.free(engine, request);
         }
         self.pump(now);
     }
 
-    /// Marks an engine as leaving, on somebody's word.
+    /// Marks an engine as leaving, as reported by a host or the platform.
     pub fn set_leaving(&mut self, name: &Name) {
         self.engines.change(name, |engine| engine.leaving = true);
     }
 
     pub(super) fn sweep(&mut self, now: Time) {
-        for (_, request) in self.find(|running| now.since(running.seen) > UNSEEN) {
-            self.forget(request);
+        for (_, request) in
+            self.find_running(|running| now.since(running.last_seen) > UNREPORTED_TIMEOUT)
+        {
+            self.drop_grant(request);
         }
-        let overdue = self.find(|running| running.deadline + OVERDUE < now);
+        let overdue = self.find_running(|running| running.deadline + OVERDUE_GRACE < now);
         for (engine, request) in overdue {
             self.free(engine, request);
         }
     }
 
-    fn find(&self, wanted: impl Fn(&Running) -> bool) -> Vec<(Name, Id)> {
+    /// Returns the running requests that match, with their engines, in a stable order.
+    fn find_running(&self, matches: impl Fn(&Running) -> bool) -> Vec<(Name, Id)> {
         let mut found = Vec::new();
         for engine in self.engines.iter() {
             for (id, running) in &engine.running {
-                if wanted(running) {
+                if matches(running) {
                     found.push((engine.name.clone(), *id));
                 }
             }
@@ -115,11 +119,11 @@
     }
 
     fn free(&mut self, engine: Name, request: Id) {
-        self.forget(request);
+        self.drop_grant(request);
         self.actions.push(Action::Free { engine, request });
     }
 
-    fn forget(&mut self, request: Id) {
+    fn drop_grant(&mut self, request: Id) {
         for name in self.granted.remove(&request).unwrap_or_default().engines {
             self.engines.change(&name, |engine| engine.release(request));
         }
@@ -138,10 +142,10 @@
         prefill: 0,
         need: holding.tokens,
         since: now,
-        deadline: now + ADOPTED_LIFE,
-        ends: now + ADOPTED_LIFE,
+        deadline: now + ADOPTED_LIFETIME,
+        expected_end: now + ADOPTED_LIFETIME,
         decoding: true,
-        seen: now,
+        last_seen: now,
     };
     engine.grant(holding.request, running, now);
 }
--- a/crates/alderglade-core/src/error.rs
+++ b/crates/alderglade-core/src/error.rs
@@ -1,7 +1,7 @@
-//! The closed list of error kinds and the one table from a kind to its answer.
+//! The closed list of error kinds, and the table that maps each kind to its answer.
 //!
-//! A caller learns three things from an answer that failed: the kind, whether the work ran, and
-//! when to come back. Every refusal in the product picks a [`Kind`]; nothing else decides a status.
+//! An error answer tells the caller three things: the kind, whether the work ran, and when to retry.
+//! Every refusal uses a [`Kind`], and only the table determines the status.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,16 +9,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// It did not run; sending it again is safe.
+    /// The work did not run. A retry is safe.
     No,
-    /// It ran, wholly or in part.
+    /// The work ran, completely or in part.
     Yes,
-    /// Contact was lost after it was sent; nobody can say.
+    /// It is unknown whether the work ran, because contact was lost after the request was sent.
     Unknown,
 }
 
 impl Ran {
-    /// Gives the word used in answers.
+    /// Returns the label used in answers.
     pub fn label(self) -> &'static str {
         match self {
             Ran::No => "no",
@@ -28,35 +28,35 @@
     }
 }
 
-/// What went wrong with a request.
+/// The reason why a request was refused or failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// The request can't be read, or a field has a bad value.
+    /// The request can't be parsed, or a field has an invalid value.
     BadRequest,
     /// The token is missing or belongs to no workspace.
     Unauthorized,
-    /// The model, service or path isn't there, or isn't open to the workspace.
+    /// The model, service or path doesn't exist, or isn't available to the workspace.
     NotFound,
     /// The body or the prompt is larger than allowed.
     TooLarge,
-    /// The workspace is over its rate.
+    /// The workspace exceeds its rate limit.
     LimitExceeded,
-    /// The entry host has as many connections or requests as it takes.
+    /// The entry host has reached its limit of connections or requests.
     HostBusy,
-    /// The request can't finish within its time behind the work already admitted.
+    /// The request can't finish within its time limit behind the work already admitted.
     Overloaded,
     /// The entry host is about to stop.
     Draining,
     /// No live engine or server of any reachable failure domain can take the request.
     NoCapacity,
-    /// The entry host has no settings yet that it may serve by.
+    /// The entry host has no settings yet that it may use.
     NotReady,
-    /// A non-repeatable request can't be recorded because the platform is out of reach.
+    /// A non-repeatable request can't be recorded because the platform is unreachable.
     PlatformUnavailable,
-    /// The time allowed ran out before the request was sent to a backend server.
+    /// The time limit expired before the request was sent to a backend server.
     ExpiredWaiting,
-    /// The time allowed ran out while the request ran.
+    /// The time limit expired while the request was running.
     ExpiredRunning,
     /// The backend server failed the request.
     BackendFailed,
@@ -66,22 +66,22 @@
     KeyInFlight,
     /// The key was used before with another body.
     KeyReused,
-    /// The key is older than keys are kept.
+    /// The key is older than the retention time of keys.
     KeyExpired,
-    /// The caller went away.
+    /// The caller has disconnected.
     CallerGone,
-    /// A fault of alderglade itself.
+    /// An internal error of alderglade.
     Internal,
-    /// Backend servers have ended under the request, and it is sent to none any more.
+    /// Backend servers have terminated while processing the request, so it is no longer sent to any.
     Quarantined,
-    /// No backend server of the service is in a region in which the request may run.
+    /// No backend server of the service is in a region where the request may run.
     NoHome,
 }
 
-/// One row of the table: what a kind means for the caller and the operator.
+/// One row of the table: the answer to the caller and the log event for a kind.
 #[derive(Debug, Clone, Copy)]
 pub struct Row {
-    /// The kind that the row is about.
+    /// The kind that this row describes.
     pub kind: Kind,
     /// The label in answers and metrics.
     pub label: &'static str,
@@ -89,7 +89,7 @@
     pub status: u16,
     /// Whether the work ran.
     pub ran: Ran,
-    /// Whether the answer says when to come back.
+    /// Whether the answer contains a retry time.
     pub retry_after: bool,
     /// The number of the log event.
     pub event: u16,
@@ -113,7 +113,7 @@
     }
 }
 
-/// The table from kind to answer, in the order of [`Kind`].
+/// The answers to all kinds, in the order of [`Kind`].
 pub const TABLE: [Row; 22] = [
     row(Kind::BadRequest, "bad_request", 400, Ran::No, false, 2001),
     row(
@@ -210,18 +210,18 @@
 ];
 
 impl Kind {
-    /// Gives the kind's row of the table.
+    /// Returns the row of the table for this kind.
     pub fn row(self) -> &'static Row {
         &TABLE[self as usize]
     }
 
-    /// Gives the label used in answers and metrics.
+    /// Returns the label used in answers and metrics.
     pub fn label(self) -> &'static str {
         self.row().label
     }
 
-    /// Says whether the answer speaks of an earlier request with the same key, which may have run
-    /// although this one was not sent.
+    /// Returns whether the answer describes an earlier request with the same key, which may have run
+    /// although this request was not sent.
     pub fn is_about_earlier(self) -> bool {
         matches!(
             self,
--- a/crates/alderglade-core/src/gang.rs
+++ b/crates/alderglade-core/src/gang.rs
@@ -1,10 +1,11 @@
-//! Groups of engines for a prompt bigger than one engine.
+//! Gangs: groups of engines that together serve a prompt too large for one engine.
 //!
-//! A cell forms one gang at a time, so two gangs of a cell never hold parts of what the other
-//! needs. First the members' memory is set aside as running work ends (others may use it
-//! meanwhile if they end before the planned start); then it is reserved at the engines
-//! themselves, in the order of their names, within a time limit. If any engine says no, all is
-//! given back and the request waits again, no younger than before.
+//! A cell forms one gang at a time, so that two gangs of a cell can't deadlock by each holding
+//! memory that the other needs. Forming a gang has two phases. First the home sets the members'
+//! memory aside as running requests end; other requests may use it meanwhile if they end before the
+//! planned start. Then the memory is reserved at the engines, in the order of their names and within
+//! a time limit. If any engine refuses, all memory is released and the request waits again with its
+//! original deadline.
 
 use crate::Name;
 use crate::book::Engine;
@@ -12,30 +13,30 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// Reserving at all members takes at most this long.
-pub const RESERVE_LIMIT: Duration = Duration::from_secs(2);
-/// A reservation lapses after this long unless it is renewed.
+/// Time limit for reserving memory at all members.
+pub const RESERVE_TIMEOUT: Duration = Duration::from_secs(2);
+/// A reservation at an engine expires after this time unless it is renewed.
 pub const RESERVATION_LIFE: Duration = Duration::from_secs(6);
-/// Who holds a reservation renews it this often.
+/// Interval at which the holder of a reservation renews it.
 pub const RENEW_EVERY: Duration = Duration::from_secs(2);
-/// After a failed try a gang waits this long, so that another home's gang can form.
-pub const BACK_OFF: Duration = Duration::from_millis(300);
-/// The part of an engine's memory that a gang may take, in thousandths.
-const SHARE_PER_MILLE: u64 = 900;
+/// Delay after a failed attempt to form a gang, so that a gang of another home can form.
+pub const REPLAN_DELAY: Duration = Duration::from_millis(300);
+/// Share of an engine's memory that a gang may use, in thousandths.
+const USABLE_PER_MILLE: u64 = 900;
 
-/// How far a gang has got.
+/// The phase of forming a gang.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Stage {
-    /// Waits for memory as running work ends.
+    /// Waits until running requests have freed enough memory at all members.
     Draining,
-    /// Reserves at the members; so many have agreed.
+    /// Reserves memory at the members, one after another.
     Reserving {
-        /// Members that have agreed.
+        /// Number of members that have agreed.
         agreed: usize,
-        /// When reserving began.
+        /// When this phase began.
         since: Time,
     },
-    /// Gave everything back and waits to try again.
+    /// Released all memory and waits before the next attempt.
     BackingOff {
         /// When to try again.
         until: Time,
@@ -45,26 +46,27 @@
 /// A gang that is being formed.
 #[derive(Debug, Clone)]
 pub struct Gang {
-    /// The request that it is for.
+    /// The request that the gang will serve.
     pub entry: Entry,
-    /// Its members in the order of their names.
+    /// The member engines, ordered by name.
     pub members: Vec<Name>,
-    /// Memory taken at each member, in tokens.
-    pub share: u64,
-    /// When it is expected to start.
+    /// KV memory used at each member, in tokens.
+    pub member_tokens: u64,
+    /// When the gang is expected to start.
     pub start: Time,
-    /// How far it has got.
+    /// The current phase.
     pub stage: Stage,
 }
 
-/// Gives the memory that a gang may take at an engine.
+/// Returns the KV memory that a gang may use at an engine, in tokens.
 pub fn usable(engine: &Engine) -> u64 {
-    engine.kv_tokens * SHARE_PER_MILLE / 1_000
+    engine.kv_tokens * USABLE_PER_MILLE / 1_000
 }
 
-/// Plans a gang: the fewest engines that hold the request, those that are free soonest.
+/// Plans a gang with the smallest number of engines that can hold the request, preferring those
+/// that have enough free memory soonest.
 ///
-/// Gives `None` where the open engines together are too small.
+/// Returns `None` if the open engines together are too small.
 pub fn plan<'a>(
     engines: impl Iterator<Item = &'a Engine>,
     entry: &Entry,
@@ -77,12 +79,12 @@
     if count > open.len() {
         return None;
     }
-    let share = need.div_ceil(count as u64);
-    open.sort_by_key(|engine| (engine.free_at(share, now), engine.name.clone()));
+    let member_tokens = need.div_ceil(count as u64);
+    open.sort_by_key(|engine| (engine.free_at(member_tokens, now), engine.name.clone()));
     open.truncate(count);
     let start = open
         .iter()
-        .map(|engine| engine.free_at(share, now))
+        .map(|engine| engine.free_at(member_tokens, now))
         .max()
         .unwrap_or(now);
     let mut members: Vec<Name> = open.iter().map(|engine| engine.name.clone()).collect();
@@ -90,7 +92,7 @@
     Some(Gang {
         entry: entry.clone(),
         members,
-        share,
+        member_tokens,
         start,
         stage: Stage::Draining,
     })
--- a/crates/alderglade-core/src/inflight.rs
+++ b/crates/alderglade-core/src/inflight.rs
@@ -1,4 +1,4 @@
-//! The requests that one entry host has in hand.
+//! The requests that one entry host is processing.
 
 use crate::Name;
 use crate::cell::Key;
@@ -9,10 +9,10 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// What a caller asks for.
+/// The kind of work that a caller requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Work {
-    /// Tokens from a model engine.
+    /// Token generation by a model engine.
     Generate,
     /// A call to a plain service.
     Call {
@@ -21,55 +21,55 @@
     },
 }
 
-/// A request as it comes from a caller, read and authenticated.
+/// A parsed and authenticated request from a caller.
 #[derive(Debug, Clone)]
 pub struct Submission {
-    /// What queues know of it.
+    /// The part of the request that queues use.
     pub ticket: Ticket,
-    /// What it asks for.
+    /// The requested work.
     pub work: Work,
-    /// Its caller class.
+    /// The caller class.
     pub class: Name,
-    /// The workspace's rate.
+    /// The workspace's rate limit.
     pub rate: Rate,
-    /// The objective for its first token.
+    /// The latency objective for the first token.
     pub first_token: Duration,
-    /// The share of requests that has to meet the objectives, in thousandths.
+    /// Share of requests that have to meet the objectives, in thousandths.
     pub objective_per_mille: u32,
-    /// Whether it may be sent again after it may have run.
+    /// Whether the request may be retried after it may have run.
     pub repeatable: bool,
-    /// The claim to record before it is sent, if it may run at most once.
+    /// The claim to record before sending, if the request may run at most once.
     pub claim: Option<Claim>,
 }
 
-/// Where a request is.
+/// The processing stage of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Stage {
     /// Waits for a slice of its workspace's rate.
     Limited,
-    /// Waits to learn which other failure domain could serve it.
+    /// Waits for the load of other failure domains, to find one that can serve it.
     Asking,
     /// Waits in a cell's queue.
     Waiting {
         /// The cell.
         cell: Key,
-        /// The host that is asked.
+        /// The cell's home, to which the request was sent.
         home: Name,
-        /// When it was last sent there.
+        /// When it was last sent to the home.
         sent: Time,
-        /// Whether the home has said that it waits there.
+        /// Whether the home has confirmed that the request is queued.
         queued: bool,
     },
-    /// Placed; waits for its claim to be recorded.
+    /// Placed; waits until its claim is recorded.
     Claiming {
-        /// The host that is asked.
+        /// The host that records the claim.
         home: Name,
-        /// When it was last sent there.
+        /// When the claim was last sent to it.
         sent: Time,
-        /// Where it is placed.
+        /// Where the request will run.
         place: Place,
     },
-    /// Sent.
+    /// Sent to a backend server.
     Running {
         /// Where it runs.
         place: Place,
@@ -79,7 +79,7 @@
 /// Where a request runs.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Place {
-    /// At engines of a cell.
+    /// On engines of a cell.
     Engines {
         /// The cell.
         cell: Key,
@@ -88,47 +88,47 @@
         /// The engines.
         engines: Vec<Name>,
     },
-    /// At a server of a plain service.
+    /// On a server of a plain service.
     Server {
         /// The server.
         server: Name,
     },
 }
 
-/// One request in hand.
+/// One request in progress.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// What came from the caller.
+    /// The request as submitted by the caller.
     pub submission: Submission,
-    /// When it came.
+    /// When the request arrived.
     pub since: Time,
-    /// When it has to be answered.
+    /// The time by which the request has to be answered.
     pub deadline: Time,
-    /// Where it is.
+    /// The current stage.
     pub stage: Stage,
-    /// Since when it is there.
+    /// When the current stage began.
     pub staged: Time,
-    /// Cells that have refused it.
+    /// Cells that have refused the request.
     pub refused_by: Vec<Key>,
-    /// Servers that have failed it.
+    /// Servers that have failed the request.
     pub failed_by: Vec<Name>,
-    /// When its first token came.
+    /// When the first token arrived.
     pub first_token: Option<Time>,
-    /// Whether it was ever sent to a backend server.
+    /// Whether the request was ever sent to a backend server.
     pub sent: bool,
-    /// Whether a backend server may have started it.
+    /// Whether a backend server may have started the request.
     pub may_have_run: bool,
 }
 
 impl Entry {
-    /// Gives the ticket with the time that remains now.
+    /// Returns the ticket with the time remaining at `now`.
     pub fn ticket(&self, now: Time) -> Ticket {
         let mut ticket = self.submission.ticket.clone();
         ticket.time_left = self.deadline.left(now);
         ticket
     }
 
-    /// Gives the engines that it holds, sent or about to be; none while it waits.
+    /// Returns the engines granted to the request. Empty while it waits, and for a plain service.
     pub fn engines(&self) -> &[Name] {
         match &self.stage {
             Stage::Running {
@@ -142,19 +142,19 @@
         }
     }
 
-    /// Says whether the stop of its host leaves it less time than its caller does.
+    /// Returns whether the deadline is earlier than the caller's, because this host is stopping.
     pub fn is_bounded(&self) -> bool {
         self.deadline < self.since + self.submission.ticket.time_left
     }
 
-    /// Moves the request to another stage.
+    /// Moves the request to another stage at `now`.
     pub fn enter(&mut self, stage: Stage, now: Time) {
         self.stage = stage;
         self.staged = now;
     }
 }
 
-/// All requests in hand, with their deadlines in order.
+/// All requests in progress, indexed by deadline.
 #[derive(Debug, Default)]
 pub struct Table {
     entries: HashMap<Id, Entry>,
@@ -163,34 +163,34 @@
 }
 
 impl Table {
-    /// Gives how many requests are in hand.
+    /// Returns the number of requests in progress.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Says whether none is in hand.
+    /// Returns whether no request is in progress.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Takes a request in hand.
+    /// Adds a request.
     pub fn insert(&mut self, id: Id, entry: Entry) {
         self.deadlines.insert((entry.deadline, id));
         self.unsent.insert(id);
         self.entries.insert(id, entry);
     }
 
-    /// Looks at a request.
+    /// Returns a request.
     pub fn get(&self, id: Id) -> Option<&Entry> {
         self.entries.get(&id)
     }
 
-    /// Looks at a request in order to change it.
+    /// Returns a request for modification. Its deadline must not be changed, because it is indexed.
     pub fn get_mut(&mut self, id: Id) -> Option<&mut Entry> {
         self.entries.get_mut(&id)
     }
 
-    /// Lets a request go.
+    /// Removes and returns a request.
     pub fn remove(&mut self, id: Id) -> Option<Entry> {
         let entry = self.entries.remove(&id)?;
         self.deadlines.remove(&(entry.deadline, id));
@@ -198,21 +198,24 @@
         Some(entry)
     }
 
-    /// Moves all deadlines after `end` to it and names their requests.
+    /// Moves all deadlines after `end` to `end` and returns the affected requests.
     pub fn bound(&mut self, end: Time) -> Vec<Id> {
-        let late = self.deadlines.iter().rev();
-        let late: Vec<(Time, Id)> = late.take_while(|(at, _)| *at > end).copied().collect();
-        for (deadline, id) in &late {
+        let latest_first = self.deadlines.iter().rev();
+        let changed: Vec<(Time, Id)> = latest_first
+            .take_while(|(at, _)| *at > end)
+            .copied()
+            .collect();
+        for (deadline, id) in &changed {
             self.deadlines.remove(&(*deadline, *id));
             self.deadlines.insert((end, *id));
             if let Some(entry) = self.entries.get_mut(id) {
                 entry.deadline = end;
             }
         }
-        late.into_iter().map(|(_, id)| id).collect()
+        changed.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Notes that a request was sent, or waits again.
+    /// Records whether a request is sent to a backend server or waits.
     pub fn set_sent(&mut self, id: Id, sent: bool) {
         if sent {
             self.unsent.remove(&id);
@@ -221,12 +224,12 @@
         }
     }
 
-    /// Lists the requests that wait for something other than a backend server.
+    /// Returns the requests that are not sent to a backend server.
     pub fn unsent(&self) -> Vec<Id> {
         self.unsent.iter().copied().collect()
     }
 
-    /// Names a request whose deadline has passed.
+    /// Returns a request whose deadline has passed.
     pub fn expired(&self, now: Time) -> Option<Id> {
         let (deadline, id) = self.deadlines.first()?;
         (*deadline <= now).then_some(*id)
--- a/crates/alderglade-core/src/lane.rs
+++ b/crates/alderglade-core/src/lane.rs
@@ -1,18 +1,18 @@
-//! Lanes: the coarse order in which work is served.
+//! Lanes: the coarse priority order of requests.
 //!
-//! Three lanes are enough for the promise that short urgent work is never starved by long
-//! reviews. A lane follows from the caller class and from the length of the prompt: a long
-//! prompt is long work whatever its class says, because it holds an engine for seconds.
+//! Three lanes suffice to guarantee that long prompts never starve short urgent requests. The lane
+//! depends on the caller class and the prompt length. A long prompt always goes to the long lane,
+//! whatever its class, because it occupies an engine for seconds.
 
 use serde::{Deserialize, Serialize};
 
-/// How many lanes there are.
+/// Number of lanes.
 pub const COUNT: usize = 3;
 
-/// Prompts with more tokens than this are long work.
+/// Prompts with more tokens than this go to the long lane.
 pub const LONG_TOKENS: u64 = 32_768;
 
-/// How urgent a caller class is, as its settings say.
+/// The priority of a caller class, from the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
@@ -20,18 +20,18 @@
     Urgent,
     /// A person will read the answer soon.
     Normal,
-    /// Nobody waits; the answer must come within its time.
+    /// Nobody waits for the answer; it only has to meet its deadline.
     Batch,
 }
 
-/// The lane a request waits in, most urgent first.
+/// The lane in which a request waits. The variants are ordered, most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Lane {
-    /// Short and urgent.
+    /// Short prompts of urgent classes.
     Urgent,
-    /// Short, not urgent.
+    /// Short prompts of other classes.
     Standard,
-    /// Long prompts, whatever their class.
+    /// Long prompts of any class.
     Long,
 }
 
@@ -39,7 +39,7 @@
     /// All lanes, most urgent first.
     pub const ALL: [Lane; COUNT] = [Lane::Urgent, Lane::Standard, Lane::Long];
 
-    /// Picks the lane for a prompt of `tokens` tokens of a class with `priority`.
+    /// Returns the lane for a prompt with `tokens` tokens of a class with `priority`.
     pub fn of(priority: Priority, tokens: u64) -> Lane {
         if tokens > LONG_TOKENS {
             return Lane::Long;
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Gives the position of the lane, `0` being the most urgent.
+    /// Returns the position of the lane in [`Lane::ALL`]; `0` is the most urgent.
     pub fn index(self) -> usize {
         self as usize
     }
 
-    /// Gives the priority number that model engines take, `0` being served first.
+    /// Returns the priority number sent to model engines, which serve `0` first.
     pub fn engine_priority(self) -> u8 {
         self as u8
     }
--- a/crates/alderglade-core/src/lib.rs
+++ b/crates/alderglade-core/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of alderglade, free of I/O, threads, clocks and global random numbers.
+//! The decision logic of alderglade, free of I/O, threads, clocks and global random numbers.
 //!
-//! Every part takes events together with the present [`time::Time`] and gives back actions. The
-//! daemon carries the actions out; scripted scenarios, differential tests and benchmarks drive the
-//! very same code under a virtual clock. Nothing in here may read a clock, open a socket or start
-//! a thread.
+//! Every component takes events together with the current [`time::Time`] and returns actions. The
+//! daemon performs the actions. Scripted scenarios, differential tests and benchmarks run the same
+//! code under a virtual clock. Nothing in this crate may read a clock, open a socket or start a
+//! thread.
 
 pub mod admission;
 pub mod book;
--- a/crates/alderglade-core/src/membership.rs
+++ b/crates/alderglade-core/src/membership.rs
@@ -1,8 +1,8 @@
-//! Who is there: heartbeats within a failure domain, a lagging list for the rest.
+//! Membership: heartbeats within a failure domain, and the platform's list for other domains.
 //!
-//! Every entry host of a domain sends its [`Card`] to the others. The platform's list only seeds
-//! the view, because it lags. A host's home role follows by rendezvous hashing from whoever
-//! seems live; two hosts may see that differently for a while, and nothing unsafe follows.
+//! Every entry host sends its [`Card`] to the other hosts of its domain. The platform's list lags
+//! and therefore only seeds the view. Homes are assigned by rendezvous hashing over the hosts that
+//! seem to be live. Two hosts may disagree about a home for a while, which is safe.
 
 use crate::Name;
 use crate::time::Time;
@@ -11,253 +11,263 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A host not heard of for this many heartbeat intervals doesn't count as live.
-const MISSED: u32 = 6;
-/// Heartbeats come at least this far apart.
-const SHORTEST_INTERVAL: Duration = Duration::from_millis(250);
-/// Each host of the domain adds this much, so that a host's traffic stays bounded.
-const INTERVAL_PER_HOST: Duration = Duration::from_millis(28);
-/// A host of another domain that didn't answer is passed over for this long.
-const SILENCE: Duration = Duration::from_secs(2);
-/// A gap between two looks at the clock that means this process was stopped.
-const FROZEN: Duration = Duration::from_secs(1);
-
-/// What a host says of itself.
+/// A host whose last heartbeat is this many intervals old doesn't count as live.
+const MAX_MISSED_HEARTBEATS: u32 = 6;
+/// Lower bound for the interval between heartbeats.
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval per host of the domain, which bounds the heartbeat traffic of a host in large domains.
+const HEARTBEAT_INTERVAL_PER_HOST: Duration = Duration::from_millis(28);
+/// A host of another domain that didn't answer is skipped for this time.
+const SILENT_HOST_BACKOFF: Duration = Duration::from_secs(2);
+/// A longer gap between two clock readings means that this process was stopped.
+const MIN_PAUSE: Duration = Duration::from_secs(1);
+
+/// A host's description of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Card {
-    /// Its name.
+    /// The host's name.
     pub name: Name,
-    /// Its failure domain.
+    /// The host's failure domain.
     pub domain: Name,
-    /// Where other entry hosts reach it: IP number and port.
+    /// Address for other entry hosts: IP number and port.
     pub address: Name,
-    /// Grows with each start of the process.
+    /// Identifies one start of the process; grows with each start.
     pub incarnation: u64,
-    /// Whether it is about to stop.
+    /// Whether the host is about to stop.
     pub leaving: bool,
-    /// The revision of its settings.
+    /// The revision of the host's settings.
     pub revision: u64,
 }
 
+/// Another host in the view.
 #[derive(Debug, Clone)]
-struct Seen {
+struct Peer {
     card: Card,
-    heard: Option<Time>,
+    last_heard: Option<Time>,
     silent_until: Time,
 }
 
-/// What changed in the view.
+/// A change in the view of the own domain.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
-    /// A host of the domain came, or came back as another incarnation.
+    /// A host of the domain joined, or restarted as another incarnation.
     Joined(Name),
-    /// A host of the domain is not heard of any more.
+    /// A host of the domain has stopped sending heartbeats.
     Died(Name),
 }
 
-/// One host's view of the others.
+/// One host's view of the other hosts.
 #[derive(Debug)]
 pub struct View {
     own: Card,
-    others: BTreeMap<Name, Seen>,
-    live: BTreeMap<Name, u64>,
-    looked: Time,
-    began: Time,
+    peers: BTreeMap<Name, Peer>,
+    known_live: BTreeMap<Name, u64>,
+    last_clock_read: Time,
+    started_at: Time,
     seeded: bool,
     joined: bool,
 }
 
 impl View {
-    /// Starts with only the host itself.
+    /// Creates a view that contains only the host itself.
     pub fn new(own: Card, now: Time) -> View {
         View {
             own,
-            others: BTreeMap::new(),
-            live: BTreeMap::new(),
-            looked: now,
-            began: now,
+            peers: BTreeMap::new(),
+            known_live: BTreeMap::new(),
+            last_clock_read: now,
+            started_at: now,
             seeded: false,
             joined: false,
         }
     }
 
-    /// Gives the host's own card.
+    /// Returns the host's own card.
     pub fn own(&self) -> &Card {
         &self.own
     }
 
-    /// Changes the host's own card.
+    /// Returns the host's own card for modification.
     pub fn own_mut(&mut self) -> &mut Card {
         &mut self.own
     }
 
-    /// Gives the card of a host, if anything is known of it.
+    /// Returns the card of a host, if the host is known.
     pub fn card(&self, name: &Name) -> Option<&Card> {
         if *name == self.own.name {
             return Some(&self.own);
         }
-        self.others.get(name).map(|seen| &seen.card)
+        self.peers.get(name).map(|peer| &peer.card)
     }
 
-    /// Takes the platform's list; what peers said themselves is not overwritten.
+    /// Applies the platform's list. It doesn't overwrite cards received in heartbeats.
     pub fn seed(&mut self, cards: Vec<Card>) {
         self.seeded = true;
-        self.others
-            .retain(|name, seen| seen.heard.is_some() || cards.iter().any(|c| c.name == *name));
+        self.peers.retain(|name, peer| {
+            peer.last_heard.is_some() || cards.iter().any(|c| c.name == *name)
+        });
         for card in cards {
             if card.name == self.own.name {
                 continue;
             }
-            match self.others.get_mut(&card.name) {
-                Some(seen) if seen.heard.is_some() => seen.card.leaving |= card.leaving,
-                Some(seen) => seen.card = card,
+            match self.peers.get_mut(&card.name) {
+                Some(peer) if peer.last_heard.is_some() => peer.card.leaving |= card.leaving,
+                Some(peer) => peer.card = card,
                 None => {
                     let name = card.name.clone();
-                    let seen = Seen {
+                    let peer = Peer {
                         card,
-                        heard: None,
+                        last_heard: None,
                         silent_until: Time(0),
                     };
-                    self.others.insert(name, seen);
+                    self.peers.insert(name, peer);
                 }
             }
         }
     }
 
-    /// Takes a heartbeat. One of an older incarnation is dropped.
+    /// Applies a heartbeat. A heartbeat of an older incarnation is dropped.
     pub fn hear(&mut self, card: Card, now: Time) {
         if card.name == self.own.name {
             return;
         }
-        // A seed is known by its address only, until the host there tells its name.
-        self.others
-            .retain(|name, seen| *name == card.name || seen.card.address != card.address);
-        let seen = self
-            .others
-            .entry(card.name.clone())
-            .or_insert_with(|| Seen {
-                card: card.clone(),
-                heard: None,
-                silent_until: Time(0),
-            });
-        let direct = seen.heard.is_some();
-        if direct && card.incarnation < seen.card.incarnation {
+        // A seed is identified by its address until the host at that address reports its name.
+        self.peers
+            .retain(|name, peer| *name == card.name || peer.card.address != card.address);
+        let peer = self.peers.entry(card.name.clone()).or_insert_with(|| Peer {
+            card: card.clone(),
+            last_heard: None,
+            silent_until: Time(0),
+        });
+        let is_heard = peer.last_heard.is_some();
+        if is_heard && card.incarnation < peer.card.incarnation {
             return;
         }
-        let same = card.incarnation == seen.card.incarnation;
-        let leaving = card.leaving || (direct && same && seen.card.leaving);
-        let revision = card.revision.max(if same { seen.card.revision } else { 0 });
-        seen.card = Card {
+        let is_same = card.incarnation == peer.card.incarnation;
+        let leaving = card.leaving || (is_heard && is_same && peer.card.leaving);
+        let revision = card
+            .revision
+            .max(if is_same { peer.card.revision } else { 0 });
+        peer.card = Card {
             leaving,
             revision,
             ..card
         };
-        seen.heard = Some(now);
-        seen.silent_until = Time(0);
+        peer.last_heard = Some(now);
+        peer.silent_until = Time(0);
     }
 
-    /// Notes that a host didn't answer.
+    /// Records that a host didn't answer.
     pub fn note_silent(&mut self, name: &Name, now: Time) {
-        if let Some(seen) = self.others.get_mut(name) {
-            seen.silent_until = now + SILENCE;
+        if let Some(peer) = self.peers.get_mut(name) {
+            peer.silent_until = now + SILENT_HOST_BACKOFF;
         }
     }
 
-    /// Looks at the clock; gives the time for which this process itself was stopped, if it was.
+    /// Detects whether this process was stopped since the last call, and returns for how long.
     ///
-    /// No host is blamed for its silence in that time.
+    /// The liveness of all peers is extended by that time, because their heartbeats couldn't be
+    /// processed.
     pub fn look(&mut self, now: Time) -> Option<Duration> {
-        let gap = now.since(self.looked);
-        self.looked = now;
-        if gap <= FROZEN {
+        let gap = now.since(self.last_clock_read);
+        self.last_clock_read = now;
+        if gap <= MIN_PAUSE {
             return None;
         }
-        self.forgive(gap);
+        self.extend_liveness(gap);
         Some(gap)
     }
 
-    /// Lets time pass and tells what changed in the own domain.
+    /// Advances to `now` and returns the changes in the own domain.
     pub fn tick(&mut self, now: Time) -> Vec<Change> {
         self.look(now);
         self.joined = self.has_joined(now);
-        let present: BTreeMap<Name, u64> = self
+        let live: BTreeMap<Name, u64> = self
             .live_peers(now)
             .map(|card| (card.name.clone(), card.incarnation))
             .collect();
         let mut changes = Vec::new();
-        for (name, incarnation) in &present {
-            if self.live.get(name) != Some(incarnation) {
+        for (name, incarnation) in &live {
+            if self.known_live.get(name) != Some(incarnation) {
                 changes.push(Change::Joined(name.clone()));
             }
         }
-        for name in self.live.keys().filter(|name| !present.contains_key(*name)) {
+        for name in self
+            .known_live
+            .keys()
+            .filter(|name| !live.contains_key(*name))
+        {
             changes.push(Change::Died(name.clone()));
         }
-        self.live = present;
+        self.known_live = live;
         changes
     }
 
-    fn forgive(&mut self, gap: Duration) {
-        for seen in self.others.values_mut() {
-            seen.heard = seen.heard.map(|heard| heard + gap);
+    fn extend_liveness(&mut self, gap: Duration) {
+        for peer in self.peers.values_mut() {
+            peer.last_heard = peer.last_heard.map(|at| at + gap);
         }
     }
 
-    /// Says whether the host has heard of every listed host of its domain, or has waited for
-    /// those that can't be reached. Before that it can't know whose settings are the newest.
-    /// Hosts that are listed later change nothing.
+    /// Returns whether the host has received a heartbeat of every listed host of its domain, or has
+    /// waited long enough for those that can't be reached.
+    ///
+    /// Before that the host can't know whose settings are the newest. Hosts that are listed later
+    /// don't change the result.
     pub fn has_joined(&self, now: Time) -> bool {
-        let waited = now.since(self.began) >= self.interval() * MISSED;
+        let has_waited = now.since(self.started_at) >= self.interval() * MAX_MISSED_HEARTBEATS;
         let own = &self.own.domain;
-        let mut near = self.others.values().filter(|seen| seen.card.domain == *own);
-        self.joined || waited || (self.seeded && near.all(|seen| seen.heard.is_some()))
+        let mut same_domain = self.peers.values().filter(|peer| peer.card.domain == *own);
+        self.joined
+            || has_waited
+            || (self.seeded && same_domain.all(|peer| peer.last_heard.is_some()))
     }
 
-    /// Gives how far apart heartbeats are in a domain of this size.
+    /// Returns the heartbeat interval for the current size of the domain.
     pub fn interval(&self) -> Duration {
         let hosts = self.domain_hosts() as u32;
-        SHORTEST_INTERVAL.max(INTERVAL_PER_HOST * hosts)
+        MIN_HEARTBEAT_INTERVAL.max(HEARTBEAT_INTERVAL_PER_HOST * hosts)
     }
 
     fn domain_hosts(&self) -> usize {
         let own = &self.own.domain;
         1 + self
-            .others
+            .peers
             .values()
-            .filter(|seen| seen.card.domain == *own)
+            .filter(|peer| peer.card.domain == *own)
             .count()
     }
 
-    /// Gives the other hosts of the own domain that are heard of.
+    /// Returns the other live hosts of the own domain.
     pub fn live_peers(&self, now: Time) -> impl Iterator<Item = &Card> {
-        let life = self.interval() * MISSED;
-        self.others
+        let timeout = self.interval() * MAX_MISSED_HEARTBEATS;
+        self.peers
             .values()
-            .filter(|seen| seen.card.domain == self.own.domain)
-            .filter(move |seen| seen.heard.is_some_and(|heard| now.since(heard) < life))
-            .map(|seen| &seen.card)
+            .filter(|peer| peer.card.domain == self.own.domain)
+            .filter(move |peer| peer.last_heard.is_some_and(|at| now.since(at) < timeout))
+            .map(|peer| &peer.card)
     }
 
-    /// Gives how many live hosts the own domain has, this one included.
+    /// Returns the number of live hosts in the own domain, this one included.
     pub fn live_count(&self, now: Time) -> usize {
         1 + self.live_peers(now).count()
     }
 
-    /// Gives all hosts of the own domain that a heartbeat should go to, heard of or not.
+    /// Returns all other hosts of the own domain, live or not. Heartbeats go to all of them.
     pub fn domain_peers(&self) -> impl Iterator<Item = &Card> {
         let own = &self.own.domain;
-        self.others
+        self.peers
             .values()
-            .map(|seen| &seen.card)
+            .map(|peer| &peer.card)
             .filter(move |card| card.domain == *own)
     }
 
-    /// Gives the names of the other failure domains that have hosts.
+    /// Returns the names of the other failure domains that have hosts.
     pub fn far_domains(&self) -> Vec<Name> {
         let mut domains: Vec<Name> = self
-            .others
+            .peers
             .values()
-            .map(|seen| seen.card.domain.clone())
+            .map(|peer| peer.card.domain.clone())
             .filter(|domain| *domain != self.own.domain)
             .collect();
         domains.sort();
@@ -265,9 +275,9 @@
         domains
     }
 
-    /// Picks the home of `key` among the live hosts of the own domain that are not leaving.
+    /// Returns the home of `key` among the live hosts of the own domain that are not leaving.
     ///
-    /// A host that is the only one left is home even while it is leaving.
+    /// If there is no such host, this host is the home even while it is leaving.
     pub fn home(&self, key: &str, now: Time) -> Name {
         let peers = self.live_peers(now).filter(|card| !card.leaving);
         let own = (!self.own.leaving).then_some(&self.own);
@@ -275,62 +285,68 @@
         best.unwrap_or(&self.own).name.clone()
     }
 
-    /// Picks the home of `key` among the hosts of another domain, as far as they answer.
+    /// Returns the home of `key` among the hosts of another domain, without those that recently
+    /// didn't answer.
     pub fn far_home(&self, domain: &Name, key: &str, now: Time) -> Option<Name> {
-        self.others
+        self.peers
             .values()
-            .filter(|seen| seen.card.domain == *domain && !seen.card.leaving)
-            .filter(|seen| seen.silent_until <= now)
-            .max_by_key(|seen| rank(&seen.card.name, key))
-            .map(|seen| seen.card.name.clone())
+            .filter(|peer| peer.card.domain == *domain && !peer.card.leaving)
+            .filter(|peer| peer.silent_until <= now)
+            .max_by_key(|peer| rank(&peer.card.name, key))
+            .map(|peer| peer.card.name.clone())
     }
 
-    /// Picks the home of `key` among all hosts of all domains.
+    /// Returns the home of `key` among the hosts of all domains.
     ///
-    /// Hosts of the own domain count while they are heard of, others until they fail to answer.
+    /// Hosts of the own domain count while they are live, hosts of other domains unless they recently
+    /// didn't answer.
     pub fn fleet_home(&self, key: &str, now: Time) -> Name {
-        let near = self.live_peers(now).filter(|card| !card.leaving);
-        let far = self
-            .others
+        let same_domain = self.live_peers(now).filter(|card| !card.leaving);
+        let other_domains = self
+            .peers
             .values()
-            .filter(|seen| seen.card.domain != self.own.domain && seen.silent_until <= now)
-            .map(|seen| &seen.card)
+            .filter(|peer| peer.card.domain != self.own.domain && peer.silent_until <= now)
+            .map(|peer| &peer.card)
             .filter(|card| !card.leaving);
         let own = (!self.own.leaving).then_some(&self.own);
-        let best = near
-            .chain(far)
+        let best = same_domain
+            .chain(other_domains)
             .chain(own)
             .max_by_key(|card| rank(&card.name, key));
         best.unwrap_or(&self.own).name.clone()
     }
 
-    /// Says whether this host would be home of `key` if all hosts of other domains answered, and is
-    /// no mere substitute for one that can't be reached.
+    /// Returns whether this host would be the home of `key` even if all hosts of other domains
+    /// answered. Otherwise it is only a substitute for a host that can't be reached.
     pub fn is_first_home(&self, key: &str, now: Time) -> bool {
-        let near = self.live_peers(now).filter(|card| !card.leaving);
-        let far = self.others.values().map(|seen| &seen.card);
-        let far = far.filter(|card| card.domain != self.own.domain && !card.leaving);
+        let same_domain = self.live_peers(now).filter(|card| !card.leaving);
+        let other_domains = self.peers.values().map(|peer| &peer.card);
+        let other_domains =
+            other_domains.filter(|card| card.domain != self.own.domain && !card.leaving);
         let own = rank(&self.own.name, key);
-        near.chain(far).all(|card| rank(&card.name, key) <= own)
+        same_domain
+            .chain(other_domains)
+            .all(|card| rank(&card.name, key) <= own)
     }
 
-    /// Gives the part of the fleet's hosts that the own domain has, in thousandths.
+    /// Returns the share of the fleet's hosts that belong to the own domain, in thousandths.
     pub fn domain_per_mille(&self) -> u64 {
         (self.domain_hosts() * 1_000 / self.fleet_count()) as u64
     }
 
-    /// Gives how many entry hosts the fleet has, as far as is known.
+    /// Returns the number of known entry hosts in the fleet, this one included.
     pub fn fleet_count(&self) -> usize {
-        1 + self.others.len()
+        1 + self.peers.len()
     }
 
-    /// Gives the highest settings revision that any peer has reported.
+    /// Returns the highest settings revision that a peer has reported in a heartbeat.
     pub fn highest_revision(&self) -> u64 {
-        let others = self.others.values().filter(|seen| seen.heard.is_some());
-        others.map(|seen| seen.card.revision).max().unwrap_or(0)
+        let peers = self.peers.values().filter(|peer| peer.last_heard.is_some());
+        peers.map(|peer| peer.card.revision).max().unwrap_or(0)
     }
 
-    /// Names a live peer of the domain whose settings are newer than `revision`.
+    /// Returns the live peer of the own domain with the newest settings, if they are newer than
+    /// `revision`.
     pub fn newer_peer(&self, revision: u64, now: Time) -> Option<Name> {
         self.live_peers(now)
             .filter(|card| card.revision > revision)
@@ -339,6 +355,7 @@
     }
 }
 
+/// Rendezvous hash of a host for `key`; the host with the highest rank is the home.
 fn rank(host: &str, key: &str) -> u64 {
     xxh3_64_with_seed(host.as_bytes(), xxh3_64_with_seed(key.as_bytes(), 0))
 }
--- a/crates/alderglade-core/src/message.rs
+++ b/crates/alderglade-core/src/message.rs
@@ -1,7 +1,8 @@
-//! What entry hosts say to each other.
+//! The messages between entry hosts.
 //!
-//! All messages are one-way and may be lost, doubled or late; each exchange is idempotent and is
-//! repeated by whoever still waits. No message carries a clock time, only time remaining.
+//! All messages are one-way and may be lost, duplicated or delayed. Each exchange is idempotent and
+//! is retried by the host that waits for its result. Messages carry durations only, never clock
+//! times.
 
 use crate::Name;
 use crate::cell::{Digest, End, Key};
@@ -15,73 +16,73 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Tells the hosts of a domain that the sender lives.
+/// Reports to the other hosts of the domain that the sender is alive.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender.
+    /// The sender's description of itself.
     pub card: Card,
-    /// Load of the cells whose home the sender is.
+    /// Load of the cells for which the sender is the home.
     pub cells: Vec<Digest>,
-    /// Backend servers known to be leaving.
+    /// Backend servers that the sender knows to be leaving.
     pub leaving: Vec<Name>,
 }
 
-/// One message.
+/// A message between two entry hosts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The sender lives.
+    /// Reports that the sender is alive.
     Heartbeat(Heartbeat),
-    /// Put a request into a cell's queue.
+    /// Requests to add a request to a cell's queue.
     Enqueue {
         /// The cell.
         cell: Key,
         /// The request.
         ticket: Ticket,
     },
-    /// The request waits here.
+    /// Confirms that a request is queued at the sender.
     Queued {
         /// The request.
         request: Id,
-        /// Its try.
+        /// The attempt of the request.
         attempt: u32,
     },
-    /// Send the request to these engines.
+    /// Grants engines for a request; the receiver then sends the request to them.
     Grant {
         /// The cell.
         cell: Key,
         /// The request.
         request: Id,
-        /// Its try.
+        /// The attempt of the request.
         attempt: u32,
         /// The engines.
         engines: Vec<Name>,
     },
-    /// The request is refused here.
+    /// Refuses a request.
     Refused {
         /// The cell.
         cell: Key,
         /// The request.
         request: Id,
-        /// Its try.
+        /// The attempt of the request.
         attempt: u32,
-        /// The answer.
+        /// The reason.
         refusal: Refusal,
     },
-    /// The request is no longer wanted; it may wait here or have been granted.
+    /// Withdraws a request, which may be queued or granted.
     Withdraw {
         /// The cell.
         cell: Key,
         /// The request.
         request: Id,
     },
-    /// The request's first token has come.
+    /// Reports the first token of a request.
     FirstToken {
         /// The cell.
         cell: Key,
         /// The request.
         request: Id,
     },
-    /// The request has left its engines.
+    /// Reports that a request has ended at its engines.
     Done {
         /// The cell.
         cell: Key,
@@ -90,7 +91,7 @@
         /// How it ended.
         end: End,
     },
-    /// Does the receiver still want what the engine holds for this request?
+    /// Asks whether the receiver still needs the memory that an engine holds for a request.
     Verify {
         /// The cell.
         cell: Key,
@@ -99,7 +100,7 @@
         /// The request.
         request: Id,
     },
-    /// The receiver's question is answered with no: the holding is not wanted.
+    /// Answers [`Message::Verify`]: the holding is not needed.
     Disown {
         /// The cell.
         cell: Key,
@@ -108,59 +109,59 @@
         /// The request.
         request: Id,
     },
-    /// Lend a slice of a workspace's rate.
+    /// Requests a slice of a workspace's rate.
     Lend {
         /// The workspace.
         workspace: Name,
-        /// What the sender needs now.
+        /// The cost that the sender needs now.
         cost: Cost,
     },
-    /// A slice is lent.
+    /// Answers [`Message::Lend`] with a slice.
     Lent {
         /// The workspace.
         workspace: Name,
-        /// What the receiver may start.
+        /// The cost that the receiver may start.
         slice: Cost,
     },
-    /// No slice is lent.
+    /// Answers [`Message::Lend`] without a slice.
     Unlent {
         /// The workspace.
         workspace: Name,
-        /// When to come back.
+        /// Time after which the receiver may ask again.
         retry_after: Duration,
     },
-    /// How loaded are the cells of the receiver's domain?
+    /// Requests the load of the cells of the receiver's domain.
     AskLoad,
-    /// The load of the cells of the sender's domain.
+    /// Reports the load of the cells of the sender's domain.
     Load {
         /// The cells.
         cells: Vec<Digest>,
     },
-    /// Record a non-repeatable request before it is sent.
+    /// Requests to record a non-repeatable request before it is sent.
     Claim(Claim),
-    /// The answer to a claim.
+    /// Answers [`Message::Claim`].
     Claimed {
-        /// The request that claimed.
+        /// The request of the claim.
         request: Id,
-        /// The answer.
+        /// The decision about the claim.
         verdict: Verdict,
     },
-    /// A claim holds a key that others ask for: was its request ever sent?
+    /// Asks the claimant whether its request was ever sent, because another request uses the same key.
     Inquire(Claim),
-    /// Record how a claimed request ended.
+    /// Requests to record the outcome of a claimed request.
     Settle(Settled),
-    /// It is recorded.
+    /// Confirms that an outcome is recorded.
     Settled {
         /// The request.
         request: Id,
     },
-    /// Send settings newer than this revision.
+    /// Requests settings that are newer than the sender's.
     WantSettings {
         /// The newest revision that the sender has.
         revision: u64,
     },
-    /// Newer settings as a whole.
+    /// Sends newer settings as a whole.
     Settings(Arc<Tree>),
-    /// What leads to newer settings, one revision after the other.
+    /// Sends patches that lead to newer settings, in order of their revisions.
     Patches(Vec<Arc<Patch>>),
 }
--- a/crates/alderglade-core/src/placement.rs
+++ b/crates/alderglade-core/src/placement.rs
@@ -1,27 +1,28 @@
-//! Picks the engine for the request that goes next.
+//! Selects the engine for the next request of a cell's queue.
 //!
-//! Short work goes where its first token is expected soonest, and only while an engine's short
-//! backlog is below a window: what waits, waits in the queue, where order and fairness hold, and
-//! not in an engine. Long work goes to a bounded set of engines, one long prefill on each at a
-//! time, and prefers engines that have long work already, so that the others stay fast.
+//! A short request goes to the engine with the earliest expected first token, and only while that
+//! engine's backlog of short prompts is below a window. Requests thus wait in the queue, which
+//! keeps order and fairness, and not in an engine. Long requests go to a bounded set of engines,
+//! with one long prefill per engine at a time. They prefer engines that already run long requests,
+//! so that the other engines stay fast.
 
-use crate::book::{CONTEXT_BOUND, Engine};
+use crate::book::{Engine, MAX_CONTEXT_TOKENS};
 use crate::request::Ticket;
 use crate::time::Time;
 use std::time::Duration;
 
-/// The numbers that placement goes by. The defaults are those that the experiments chose.
+/// Placement parameters.
 #[derive(Debug, Clone, Copy)]
 pub struct Config {
-    /// Short prompt tokens that may wait within an engine.
+    /// Maximum number of short prompt tokens waiting for prefill in one engine.
     pub window: u64,
-    /// KV memory that long work leaves free, in thousandths.
+    /// KV memory of an engine that long requests leave free, in thousandths.
     pub headroom_per_mille: u64,
-    /// The share of an engine's time that short work may take beside a long prefill, in thousandths.
+    /// Share of an engine's prefill rate that short requests may use during a long prefill, in thousandths.
     pub beside_per_mille: u64,
-    /// Engines kept free of long prefill for each engine that short work keeps busy, in thousandths.
+    /// Engines kept free of long prefills per engine that short prefills keep busy, in thousandths.
     pub spare_per_mille: u64,
-    /// Whether long prefill keeps to a bounded set of engines.
+    /// Whether long prefills are limited to a bounded set of engines.
     pub isolate: bool,
 }
 
@@ -37,47 +38,53 @@
     }
 }
 
-/// A short prompt's length in tokens, by which engines are kept in order.
-pub const TYPICAL_PROMPT: u64 = 1_000;
+/// Length of a typical short prompt. Engines are ranked by their expected time to its first token.
+pub const TYPICAL_PROMPT_TOKENS: u64 = 1_000;
 
-/// Long work that waits, and how soon it has to be done.
+/// Pending long prefills and how urgent they are.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Demand {
-    /// Prompt tokens that wait or are being prefilled.
+    /// Prompt tokens that are queued or being prefilled.
     pub tokens: u64,
-    /// The time that the most pressing request has left.
+    /// Time until the deadline of the next long request.
     pub slack: Duration,
-    /// Prefill tokens a second of one engine.
+    /// Prefill rate of one engine, in tokens per second.
     pub rate: u64,
 }
 
 impl Demand {
-    /// Gives the engines that clear the work in half the time that is left.
-    fn engines(self) -> usize {
-        let within = self.slack.as_micros() as u64 / 2_000_000;
-        let one = self.rate.saturating_mul(within).max(1);
-        usize::try_from(self.tokens.div_ceil(one)).unwrap_or(usize::MAX)
+    /// Returns the number of engines that prefill all tokens within half of the slack.
+    fn engines_needed(self) -> usize {
+        let seconds = self.slack.as_micros() as u64 / 2_000_000;
+        let tokens_per_engine = self.rate.saturating_mul(seconds).max(1);
+        usize::try_from(self.tokens.div_ceil(tokens_per_engine)).unwrap_or(usize::MAX)
     }
 }
 
-/// Says how many engines of `open` may prefill long prompts, when short work keeps `busy`
-/// thousandths of an engine busy.
+/// Returns how many of `open` engines may prefill long prompts, where short prefills use
+/// `busy_per_mille` thousandths of one engine.
 ///
-/// Long work leaves several times the engines that short work needs, because short work waits
-/// for a free one; it gets more as its deadlines press. It always has one, so that it is never
-/// starved, and leaves one wherever there are two.
-pub fn long_bound(config: &Config, open: usize, busy_per_mille: u64, demand: Demand) -> usize {
+/// Several times the engines that short requests need are kept free of long prefills, because a
+/// short request waits for a free engine. Long requests get more engines as their deadlines
+/// approach. They always get at least one engine, so that they never starve, and leave at least one
+/// to short requests if there are two or more.
+pub fn max_long_engines(
+    config: &Config,
+    open: usize,
+    busy_per_mille: u64,
+    demand: Demand,
+) -> usize {
     if !config.isolate {
         return open;
     }
-    let wanted = busy_per_mille * config.spare_per_mille / 1_000;
-    let spare = (wanted.div_ceil(1_000) as usize).max(1);
-    let left = open.saturating_sub(spare);
-    let most = open.saturating_sub(1);
-    left.max(demand.engines()).min(most).max(1)
+    let spare_per_mille = busy_per_mille * config.spare_per_mille / 1_000;
+    let spare = (spare_per_mille.div_ceil(1_000) as usize).max(1);
+    let available = open.saturating_sub(spare);
+    let max = open.saturating_sub(1);
+    available.max(demand.engines_needed()).min(max).max(1)
 }
 
-/// Picks an engine for short work, or none where all are busy enough.
+/// Selects an engine for a short request, or `None` if no engine accepts it now.
 pub fn pick_short<'a>(
     config: &Config,
     engines: impl Iterator<Item = &'a Engine>,
@@ -85,13 +92,13 @@
     now: Time,
 ) -> Option<&'a Engine> {
     engines
-        .filter(|engine| takes_short(config, engine, ticket, now))
+        .filter(|engine| accepts_short(config, engine, ticket, now))
         .min_by_key(|engine| (first_token(engine, ticket), engine.running.len()))
 }
 
-/// Picks an engine for long work that one engine can hold.
+/// Selects an engine for a long request that fits into one engine.
 ///
-/// The caller has made sure that another engine may prefill a long prompt at all.
+/// The caller must have checked that one more engine may prefill a long prompt.
 pub fn pick_long<'a>(
     config: &Config,
     engines: impl Iterator<Item = &'a Engine>,
@@ -99,108 +106,114 @@
     now: Time,
 ) -> Option<&'a Engine> {
     engines
-        .filter(|engine| takes_long(config, engine, ticket, now))
-        .min_by_key(|engine| long_order(engine, ticket))
+        .filter(|engine| accepts_long(config, engine, ticket, now))
+        .min_by_key(|engine| long_rank(engine, ticket))
 }
 
-/// Estimates the time to the first token of short work on an engine.
+/// Estimates the time to the first token of a short request on an engine.
 ///
-/// The engine's present step has to end first, on average half of it. Then short prompts are
-/// prefilled in chunks, smaller ones beside decoding streams; a long prompt fills up what the
-/// short ones leave of each chunk.
+/// The current step of the engine has to end first, which takes half a step on average. Short
+/// prompts are then prefilled in chunks, which are smaller while streams decode. A long prompt uses
+/// the part of each chunk that short prompts leave.
 pub fn first_token(engine: &Engine, ticket: &Ticket) -> Duration {
-    first_token_of(engine, engine.prefill_of(ticket))
+    first_token_of(engine, engine.prefill_tokens(ticket))
 }
 
-/// Estimates the time to the first token of a short prompt of `tokens` that nothing caches.
+/// Estimates the time to the first token of a short prompt with `tokens` uncached tokens.
 pub fn first_token_of(engine: &Engine, tokens: u64) -> Duration {
-    let work = engine.short_backlog() + tokens;
-    let decodes = engine.decoding() > 0;
-    let chunk = if decodes {
+    let short_tokens = engine.short_backlog() + tokens;
+    let is_decoding = engine.decoding() > 0;
+    let chunk = if is_decoding {
         engine.mixed_chunk
     } else {
         engine.chunk
     };
-    let steps = work.div_ceil(chunk);
-    let base = if decodes {
+    let steps = short_tokens.div_ceil(chunk);
+    let decode_step = if is_decoding {
         engine.step_time()
     } else {
         Duration::ZERO
     };
-    let fills = engine.long_prefills() > 0;
-    let tokens = if fills { steps * chunk } else { work };
-    let under_way = if fills || engine.short_backlog() > 0 {
+    let has_long_prefill = engine.long_prefills() > 0;
+    let tokens = if has_long_prefill {
+        steps * chunk
+    } else {
+        short_tokens
+    };
+    let current_chunk = if has_long_prefill || engine.short_backlog() > 0 {
         chunk
     } else {
         0
     };
-    let rest = (base + prefill_time(engine, under_way)) / 2;
+    let current_step = (decode_step + prefill_time(engine, current_chunk)) / 2;
     let steps = u32::try_from(steps).unwrap_or(u32::MAX);
-    rest + base.saturating_mul(steps) + prefill_time(engine, tokens)
+    current_step + decode_step.saturating_mul(steps) + prefill_time(engine, tokens)
 }
 
 fn prefill_time(engine: &Engine, tokens: u64) -> Duration {
     Duration::from_micros(tokens * 1_000_000 / engine.rate)
 }
 
-/// Says whether an engine has room for another short prompt of the typical length.
+/// Returns whether an engine has room for another short prompt of the typical length.
 pub fn has_room(config: &Config, engine: &Engine) -> bool {
     let backlog = engine.short_backlog();
-    let window = backlog == 0 || backlog + TYPICAL_PROMPT <= config.window;
-    window && engine.running.len() < engine.max_batch
+    let within_window = backlog == 0 || backlog + TYPICAL_PROMPT_TOKENS <= config.window;
+    within_window && engine.running.len() < engine.max_batch
 }
 
-/// Says whether an engine takes this short request now.
-pub fn takes_short(config: &Config, engine: &Engine, ticket: &Ticket, now: Time) -> bool {
-    let room = engine.free() >= ticket.need() && engine.running.len() < engine.max_batch;
+/// Returns whether a short request may be granted to an engine now.
+pub fn accepts_short(config: &Config, engine: &Engine, ticket: &Ticket, now: Time) -> bool {
+    let has_room = engine.free() >= ticket.need() && engine.running.len() < engine.max_batch;
     let backlog = engine.short_backlog();
-    let window = backlog == 0 || backlog + ticket.prompt <= config.window;
-    let wanted = ticket.avoid.as_ref() != Some(&engine.name);
-    let context = engine.context() + ticket.need() <= CONTEXT_BOUND;
+    let within_window = backlog == 0 || backlog + ticket.prompt <= config.window;
+    let allowed = ticket.avoid.as_ref() != Some(&engine.name);
+    let within_context = engine.context() + ticket.need() <= MAX_CONTEXT_TOKENS;
     engine.is_open(now)
-        && room
-        && window
-        && wanted
-        && context
-        && beside(config, engine, ticket, now)
+        && has_room
+        && within_window
+        && allowed
+        && within_context
+        && fits_beside_long(config, engine, ticket, now)
 }
 
-/// Short work beside a long prefill keeps to a share of the engine, so that the long one ends.
-fn beside(config: &Config, engine: &Engine, ticket: &Ticket, now: Time) -> bool {
+/// Returns whether a short request stays within the share of an engine that short requests may use
+/// during a long prefill. The share lets the long prefill end.
+fn fits_beside_long(config: &Config, engine: &Engine, ticket: &Ticket, now: Time) -> bool {
     if engine.long_prefills() == 0 {
         return true;
     }
-    let micros = now.since(engine.long_since()).as_micros() as u64;
-    let could = engine.rate * micros / 1_000_000 + config.window;
-    let may = could * config.beside_per_mille / 1_000;
-    engine.short_beside_long + ticket.prompt <= may
+    let micros = now.since(engine.long_prefill_since()).as_micros() as u64;
+    let possible = engine.rate * micros / 1_000_000 + config.window;
+    let allowed = possible * config.beside_per_mille / 1_000;
+    engine.short_beside_long + ticket.prompt <= allowed
 }
 
-fn takes_long(config: &Config, engine: &Engine, ticket: &Ticket, now: Time) -> bool {
-    let room = ticket.need() <= long_room(config, engine);
-    let wanted = ticket.avoid.as_ref() != Some(&engine.name);
-    engine.is_open(now) && room && wanted
+fn accepts_long(config: &Config, engine: &Engine, ticket: &Ticket, now: Time) -> bool {
+    let fits = ticket.need() <= long_room(config, engine);
+    let allowed = ticket.avoid.as_ref() != Some(&engine.name);
+    engine.is_open(now) && fits && allowed
 }
 
-/// Gives the memory in tokens that an engine has for another long prompt: none while it prefills
-/// one.
+/// Returns the KV memory in tokens that an engine has for another long prompt. It is zero while the
+/// engine prefills a long prompt.
 pub fn long_room(config: &Config, engine: &Engine) -> u64 {
     let busy = engine.long_prefills() > 0 || engine.running.len() >= engine.max_batch;
-    let kept = engine.kv_tokens * config.headroom_per_mille / 1_000;
+    let headroom = engine.kv_tokens * config.headroom_per_mille / 1_000;
     if busy {
         0
     } else {
-        engine.free().saturating_sub(kept)
+        engine.free().saturating_sub(headroom)
     }
 }
 
-/// Engines with long work come first, then those with the least short work.
-fn long_order(engine: &Engine, ticket: &Ticket) -> (bool, u64, u64, usize) {
-    let fresh = engine.longs() == 0;
-    let saved = ticket.prompt - engine.prefill_of(ticket);
+/// Sort key for long requests: engines that run long requests come first, then those that save the
+/// most prefill, then those with the least short work.
+fn long_rank(engine: &Engine, ticket: &Ticket) -> (bool, u64, u64, usize) {
+    let has_no_long = engine.long_requests() == 0;
+    let cached = ticket.prompt - engine.prefill_tokens(ticket);
     (
-        fresh,
-        u64::MAX - saved,
+        has_no_long,
+        u64::MAX - cached,
         engine.short_backlog(),
         engine.running.len(),
     )
--- a/crates/alderglade-core/src/queue.rs
+++ b/crates/alderglade-core/src/queue.rs
@@ -1,9 +1,11 @@
-//! The queue of one cell: lanes, fair between workspaces, earliest deadline within a workspace.
+//! The wait queue of one cell: three lanes, fair between workspaces, earliest deadline first within
+//! a workspace.
 //!
-//! Fairness is start-time fair queueing over prompt tokens: each workspace has a tag that grows by
-//! cost divided by weight, the lowest tag goes next, and a workspace that comes back from idling
-//! starts at the lane's present tag, so that it neither saves up nor pays for its absence.
-//! Every operation costs the logarithm of the workspaces and requests waiting.
+//! Each lane uses start-time fair queueing over prompt tokens. Each workspace has a tag that grows
+//! by cost divided by weight, and the workspace with the lowest tag is served next. A workspace
+//! that was idle restarts at the lane's virtual time, so that it neither accumulates credit nor is
+//! penalized for its absence. Every operation is logarithmic in the number of waiting workspaces
+//! and requests.
 
 use crate::Name;
 use crate::lane::{COUNT, Lane};
@@ -11,65 +13,68 @@
 use crate::time::Time;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A request that waits, with the entry host that sent it.
+/// A waiting request and the entry host that sent it.
 #[derive(Debug, Clone)]
 pub struct Entry {
     /// The request.
     pub ticket: Ticket,
-    /// The entry host that waits for it.
+    /// The entry host that holds the caller's connection.
     pub from: Name,
-    /// When the request came to this queue.
+    /// When the request entered this queue.
     pub since: Time,
-    /// When it has to be answered.
+    /// The time by which the request has to be answered.
     pub deadline: Time,
 }
 
-/// A request's position within its workspace.
-type Slot = (Time, Id);
+/// Position of a request within its workspace: earliest deadline first.
+type Position = (Time, Id);
 
+/// The waiting requests of one workspace in one lane.
 #[derive(Debug, Default)]
 struct Backlog {
     tag: u64,
     tokens: u64,
     weight: u32,
-    waiting: BTreeMap<Slot, Entry>,
+    waiting: BTreeMap<Position, Entry>,
 }
 
+/// The workspaces that wait in one lane, ordered by their tags.
 #[derive(Debug, Default)]
-struct Row {
+struct LaneQueue {
     order: BTreeSet<(u64, Name)>,
     backlogs: HashMap<Name, Backlog>,
-    tag: u64,
+    virtual_time: u64,
     tokens: u64,
     weights: u64,
     count: usize,
 }
 
+/// Where a waiting request is found.
 #[derive(Debug, Clone)]
-struct Place {
+struct Location {
     lane: Lane,
     workspace: Name,
-    slot: Slot,
+    position: Position,
 }
 
-/// The queue of one cell.
+/// The wait queue of one cell.
 #[derive(Debug, Default)]
 pub struct Queue {
-    rows: [Row; COUNT],
-    places: HashMap<Id, Place>,
-    deadlines: BTreeSet<Slot>,
+    lanes: [LaneQueue; COUNT],
+    locations: HashMap<Id, Location>,
+    deadlines: BTreeSet<Position>,
 }
 
-/// Tags count in this fraction of a token, so that weights up to a thousand keep apart.
+/// Tag units per token. Tags are integers; this scale keeps weights up to 1,000 distinct.
 const TAG_SCALE: u64 = 1_024;
 
-impl Row {
-    fn insert(&mut self, entry: Entry, slot: Slot) {
+impl LaneQueue {
+    fn insert(&mut self, entry: Entry, position: Position) {
         let workspace = entry.ticket.workspace.clone();
-        let now_tag = self.tag;
+        let virtual_time = self.virtual_time;
         let backlog = self.backlogs.entry(workspace.clone()).or_default();
         if backlog.waiting.is_empty() {
-            backlog.tag = backlog.tag.max(now_tag);
+            backlog.tag = backlog.tag.max(virtual_time);
             backlog.weight = entry.ticket.weight.max(1);
             self.weights += u64::from(backlog.weight);
             self.order.insert((backlog.tag, workspace));
@@ -77,18 +82,18 @@
         backlog.tokens += entry.ticket.prompt;
         self.tokens += entry.ticket.prompt;
         self.count += 1;
-        backlog.waiting.insert(slot, entry);
+        backlog.waiting.insert(position, entry);
     }
 
-    fn remove(&mut self, workspace: &Name, slot: Slot, served: bool) -> Option<Entry> {
+    fn remove(&mut self, workspace: &Name, position: Position, served: bool) -> Option<Entry> {
         let backlog = self.backlogs.get_mut(workspace)?;
-        let entry = backlog.waiting.remove(&slot)?;
+        let entry = backlog.waiting.remove(&position)?;
         self.order.remove(&(backlog.tag, workspace.clone()));
         backlog.tokens -= entry.ticket.prompt;
         self.tokens -= entry.ticket.prompt;
         self.count -= 1;
         if served {
-            self.tag = self.tag.max(backlog.tag);
+            self.virtual_time = self.virtual_time.max(backlog.tag);
             backlog.tag += entry.ticket.prompt * TAG_SCALE / u64::from(backlog.weight);
         }
         if backlog.waiting.is_empty() {
@@ -99,97 +104,100 @@
         Some(entry)
     }
 
-    /// Drops the tags of idle workspaces that the lane has caught up with.
-    fn forget_idle(&mut self) {
-        let tag = self.tag;
+    /// Drops idle workspaces whose tag is not ahead of the lane's virtual time.
+    fn remove_idle(&mut self) {
+        let virtual_time = self.virtual_time;
         self.backlogs
-            .retain(|_, backlog| !backlog.waiting.is_empty() || backlog.tag > tag);
+            .retain(|_, backlog| !backlog.waiting.is_empty() || backlog.tag > virtual_time);
     }
 }
 
 impl Queue {
-    /// Gives how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.locations.len()
     }
 
-    /// Says whether none waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.locations.is_empty()
     }
 
-    /// Gives how many requests wait in a lane.
+    /// Returns the number of waiting requests in a lane.
     pub fn count(&self, lane: Lane) -> usize {
-        self.rows[lane.index()].count
+        self.lanes[lane.index()].count
     }
 
-    /// Gives the prompt tokens that wait in a lane.
+    /// Returns the prompt tokens waiting in a lane.
     pub fn tokens(&self, lane: Lane) -> u64 {
-        self.rows[lane.index()].tokens
+        self.lanes[lane.index()].tokens
     }
 
-    /// Says whether the request waits here.
+    /// Returns whether the request waits in this queue.
     pub fn contains(&self, id: Id) -> bool {
-        self.places.contains_key(&id)
+        self.locations.contains_key(&id)
     }
 
-    /// Puts a request in; a request that waits already is left as it is.
+    /// Adds a request. A request that is already waiting stays unchanged.
     pub fn push(&mut self, entry: Entry) {
         let id = entry.ticket.id;
-        if self.places.contains_key(&id) {
+        if self.locations.contains_key(&id) {
             return;
         }
-        let slot = (entry.deadline, id);
-        let place = Place {
+        let position = (entry.deadline, id);
+        let location = Location {
             lane: entry.ticket.lane,
             workspace: entry.ticket.workspace.clone(),
-            slot,
+            position,
         };
-        self.rows[place.lane.index()].insert(entry, slot);
-        self.deadlines.insert(slot);
-        self.places.insert(id, place);
+        self.lanes[location.lane.index()].insert(entry, position);
+        self.deadlines.insert(position);
+        self.locations.insert(id, location);
     }
 
-    /// Looks at the request that goes next in a lane.
+    /// Returns the next request of a lane without removing it.
     pub fn peek(&self, lane: Lane) -> Option<&Entry> {
-        let row = &self.rows[lane.index()];
-        let (_, workspace) = row.order.first()?;
-        let backlog = row.backlogs.get(workspace)?;
+        let lane_queue = &self.lanes[lane.index()];
+        let (_, workspace) = lane_queue.order.first()?;
+        let backlog = lane_queue.backlogs.get(workspace)?;
         backlog.waiting.values().next()
     }
 
-    /// Looks at the next request of up to `most` workspaces of a lane, in their order.
-    pub fn heads(&self, lane: Lane, most: usize) -> impl Iterator<Item = &Entry> {
-        let row = &self.rows[lane.index()];
-        row.order
+    /// Returns the next request of each of the first `limit` workspaces of a lane, in order.
+    pub fn heads(&self, lane: Lane, limit: usize) -> impl Iterator<Item = &Entry> {
+        let lane_queue = &self.lanes[lane.index()];
+        lane_queue
+            .order
             .iter()
-            .take(most)
-            .filter_map(|(_, workspace)| row.backlogs.get(workspace)?.waiting.values().next())
+            .take(limit)
+            .filter_map(|(_, workspace)| {
+                lane_queue.backlogs.get(workspace)?.waiting.values().next()
+            })
     }
 
-    /// Takes a request out because it is served now; its workspace pays for it.
+    /// Removes a request that is served now and charges it to its workspace.
     pub fn serve(&mut self, id: Id) -> Option<Entry> {
-        self.take(id, true)
+        self.take_out(id, true)
     }
 
-    /// Takes a request out unserved.
+    /// Removes a request without charging its workspace.
     pub fn remove(&mut self, id: Id) -> Option<Entry> {
-        self.take(id, false)
+        self.take_out(id, false)
     }
 
-    fn take(&mut self, id: Id, served: bool) -> Option<Entry> {
-        let place = self.places.remove(&id)?;
-        self.deadlines.remove(&place.slot);
-        self.rows[place.lane.index()].remove(&place.workspace, place.slot, served)
+    fn take_out(&mut self, id: Id, served: bool) -> Option<Entry> {
+        let location = self.locations.remove(&id)?;
+        self.deadlines.remove(&location.position);
+        self.lanes[location.lane.index()].remove(&location.workspace, location.position, served)
     }
 
-    /// Gives the earliest deadline of all that wait.
+    /// Returns the earliest deadline of all waiting requests.
     pub fn next_deadline(&self) -> Option<Time> {
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Takes out one request whose deadline has passed.
-    pub fn expired(&mut self, now: Time) -> Option<Entry> {
+    /// Removes and returns one request whose deadline has passed.
+    pub fn pop_expired(&mut self, now: Time) -> Option<Entry> {
         let (deadline, id) = *self.deadlines.first()?;
         if deadline > now {
             return None;
@@ -197,39 +205,39 @@
         self.remove(id)
     }
 
-    /// Gives the tokens that go before a new request of `workspace` in its own lane.
+    /// Estimates the prompt tokens served before a new request of `workspace` in the same lane.
     ///
-    /// A workspace within its share waits for its own backlog times the others' weights, never
-    /// for the whole backlog of a loud one.
-    pub fn ahead(&self, lane: Lane, workspace: &Name, weight: u32) -> u64 {
-        let row = &self.rows[lane.index()];
-        let own = row.backlogs.get(workspace);
+    /// A workspace within its share waits for its own backlog multiplied by the weights of the
+    /// others, never for the whole backlog of a busy workspace.
+    pub fn tokens_ahead(&self, lane: Lane, workspace: &Name, weight: u32) -> u64 {
+        let lane_queue = &self.lanes[lane.index()];
+        let own = lane_queue.backlogs.get(workspace);
         let tokens = own.map_or(0, |backlog| backlog.tokens);
-        let waits = own.is_some_and(|backlog| !backlog.waiting.is_empty());
+        let is_waiting = own.is_some_and(|backlog| !backlog.waiting.is_empty());
         let weight = u64::from(weight.max(1));
-        let weights = if waits {
-            row.weights
+        let weights = if is_waiting {
+            lane_queue.weights
         } else {
-            row.weights + weight
+            lane_queue.weights + weight
         };
-        let head = row.order.len() as u64 * self.mean_prompt(lane);
+        let head = lane_queue.order.len() as u64 * self.mean_prompt(lane);
         let share = tokens.saturating_mul(weights) / weight;
-        (share + head).min(row.tokens)
+        (share + head).min(lane_queue.tokens)
     }
 
     fn mean_prompt(&self, lane: Lane) -> u64 {
-        let row = &self.rows[lane.index()];
-        row.tokens / (row.count.max(1) as u64)
+        let lane_queue = &self.lanes[lane.index()];
+        lane_queue.tokens / (lane_queue.count.max(1) as u64)
     }
 
-    /// Empties the queue, for handing it over.
+    /// Removes and returns all waiting requests, in no particular order.
     pub fn drain(&mut self) -> Vec<Entry> {
-        let ids: Vec<Id> = self.places.keys().copied().collect();
+        let ids: Vec<Id> = self.locations.keys().copied().collect();
         ids.into_iter().filter_map(|id| self.remove(id)).collect()
     }
 
-    /// Frees what is kept for workspaces that have long been idle.
-    pub fn tidy(&mut self) {
-        self.rows.iter_mut().for_each(Row::forget_idle);
+    /// Frees the state of idle workspaces that no longer affects fairness.
+    pub fn remove_idle_workspaces(&mut self) {
+        self.lanes.iter_mut().for_each(LaneQueue::remove_idle);
     }
 }
--- a/crates/alderglade-core/src/request.rs
+++ b/crates/alderglade-core/src/request.rs
@@ -1,7 +1,7 @@
-//! The life cycle of a request, by typestate.
+//! The life cycle of a request as a typestate.
 //!
-//! `Received → Admitted → Placed → Dispatched → Answered`. Only a request that was not dispatched
-//! can be refused with "did not run"; the types leave no other way to make that answer.
+//! The states are `Received → Admitted → Placed → Dispatched → Answered`. Only a request that was
+//! not dispatched can be refused with "did not run"; the types make any other use a compile error.
 
 use crate::Name;
 use crate::error::{Kind, Ran};
@@ -10,14 +10,14 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The identity of a request, unique over the fleet: the entry host's incarnation and a counter.
+/// The identity of a request, unique in the fleet: the entry host's incarnation and a counter.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Default,
 )]
 pub struct Id {
-    /// The incarnation of the entry host that took the request.
+    /// The incarnation of the entry host that received the request.
     pub incarnation: u64,
-    /// Counts the requests of that incarnation.
+    /// The number of the request within that incarnation.
     pub serial: u64,
 }
 
@@ -27,89 +27,91 @@
     }
 }
 
-/// A prompt's beginning that other prompts share.
+/// A prompt prefix that several prompts share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prefix {
-    /// A digest of the shared text.
+    /// Digest of the prefix text.
     pub key: u64,
-    /// Its length in tokens.
+    /// Length of the prefix in tokens.
     pub tokens: u64,
 }
 
-/// What a queue has to know of a request.
+/// The properties of a request that queues and placement use.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Ticket {
-    /// The request.
+    /// The identity of the request.
     pub id: Id,
-    /// The workspace that pays for it.
+    /// The workspace that is charged for the request.
     pub workspace: Name,
-    /// The model asked for.
+    /// The requested model.
     pub model: Name,
-    /// The lane it waits in.
+    /// The lane in which the request waits.
     pub lane: Lane,
-    /// The workspace's weight.
+    /// The workspace's weight in fair queueing.
     pub weight: u32,
     /// Prompt length in tokens.
     pub prompt: u64,
-    /// The most tokens that the answer may have.
+    /// Maximum output length in tokens.
     pub output_cap: u64,
-    /// The tokens that the answer is expected to have.
+    /// Expected output length in tokens.
     pub output_expected: u64,
-    /// The shared beginning, if the caller named one.
+    /// The shared prefix, if the caller named one.
     pub prefix: Option<Prefix>,
-    /// The time that remains, at the moment of sending.
+    /// Time until the deadline, at the moment of sending.
     pub time_left: Duration,
-    /// Which try this is, counted from `1`.
+    /// The number of this attempt, starting at `1`.
     pub attempt: u32,
-    /// An engine that has just failed the request.
+    /// The engine that failed the previous attempt.
     pub avoid: Option<Name>,
 }
 
 impl Ticket {
-    /// Gives the KV memory that the request needs, in tokens.
+    /// Returns the KV memory that the request needs, in tokens.
     pub fn need(&self) -> u64 {
         self.prompt + self.output_cap
     }
 }
 
-/// Taken from the caller; nothing is decided yet.
+/// State: received from the caller, not yet admitted.
 #[derive(Debug)]
 pub struct Received;
-/// Let in: its time is running.
+/// State: admitted; the time limit is running.
 #[derive(Debug)]
 pub struct Admitted;
-/// Given one engine, or several for a prompt bigger than one.
+/// State: assigned to one engine, or to several if the prompt doesn't fit into one.
 #[derive(Debug)]
 pub struct Placed {
     /// The engines, in the order in which the prompt passes through them.
     pub engines: Vec<Name>,
 }
-/// Sent to its engines; from here on it may have run.
+/// State: sent to its engines. From here on the request may have run.
 #[derive(Debug)]
 pub struct Dispatched {
-    /// The engines.
+    /// The engines, in the order in which the prompt passes through them.
     pub engines: Vec<Name>,
 }
-/// Answered; nothing more happens.
+/// State: answered. This state is final.
 #[derive(Debug)]
 pub struct Answered {
-    /// `None` where it finished, else why it failed.
+    /// The reason of the failure; `None` if the request finished.
     pub failure: Option<Refusal>,
 }
 
-/// An answer that says no.
+/// The answer to a request that was refused or failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// The error kind.
     pub kind: Kind,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub ran: Ran,
-    /// When to come back, where that helps.
+    /// Time after which the caller should retry, if a retry can succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// Makes the answer that the table holds for `kind`.
+    /// Creates the answer for `kind` according to [`crate::error::TABLE`].
+    ///
+    /// `retry_after` is dropped if the table has no retry time for `kind`.
     pub fn new(kind: Kind, retry_after: Duration) -> Refusal {
         let row = kind.row();
         Refusal {
@@ -120,19 +122,19 @@
     }
 }
 
-/// A request in one state of its life.
+/// A request in state `S` of its life cycle.
 #[derive(Debug)]
 pub struct Request<S> {
-    /// What queues know of it.
+    /// The properties of the request.
     pub ticket: Ticket,
-    /// When it has to be answered.
+    /// The time by which the request has to be answered.
     pub deadline: Time,
-    /// What belongs to the state.
+    /// The data of the current state.
     pub state: S,
 }
 
 impl<S> Request<S> {
-    fn turn<T>(self, state: T) -> Request<T> {
+    fn with_state<T>(self, state: T) -> Request<T> {
         Request {
             ticket: self.ticket,
             deadline: self.deadline,
@@ -148,22 +150,22 @@
 impl NotSent for Placed {}
 
 impl<S: NotSent> Request<S> {
-    /// Ends the request with an answer that says it did not run.
+    /// Ends the request with an answer that says that it did not run.
     ///
-    /// The kind's own word on `ran` gives way: what was not sent did not run. Only an answer about
-    /// an earlier request with the same key keeps its word.
+    /// This overrides the `ran` value of the kind, because a request that was not sent did not run.
+    /// An answer about an earlier request with the same key keeps its value.
     pub fn refuse(self, mut refusal: Refusal) -> Request<Answered> {
         if !refusal.kind.is_about_earlier() {
             refusal.ran = Ran::No;
         }
-        self.turn(Answered {
+        self.with_state(Answered {
             failure: Some(refusal),
         })
     }
 }
 
 impl Request<Received> {
-    /// Takes a request from a caller.
+    /// Creates a request received from a caller.
     pub fn receive(ticket: Ticket, deadline: Time) -> Request<Received> {
         Request {
             ticket,
@@ -172,36 +174,36 @@
         }
     }
 
-    /// Lets the request in.
+    /// Admits the request.
     pub fn admit(self) -> Request<Admitted> {
-        self.turn(Admitted)
+        self.with_state(Admitted)
     }
 }
 
 impl Request<Admitted> {
-    /// Gives the request its engines.
+    /// Assigns the request to engines.
     pub fn place(self, engines: Vec<Name>) -> Request<Placed> {
-        self.turn(Placed { engines })
+        self.with_state(Placed { engines })
     }
 }
 
 impl Request<Placed> {
-    /// Notes that the request is being sent.
+    /// Marks the request as sent.
     pub fn dispatch(mut self) -> Request<Dispatched> {
         let engines = std::mem::take(&mut self.state.engines);
-        self.turn(Dispatched { engines })
+        self.with_state(Dispatched { engines })
     }
 }
 
 impl Request<Dispatched> {
-    /// Ends the request with its whole answer.
+    /// Ends the request after a complete answer.
     pub fn finish(self) -> Request<Answered> {
-        self.turn(Answered { failure: None })
+        self.with_state(Answered { failure: None })
     }
 
-    /// Ends the request with a failure after it was sent.
+    /// Ends the request with a failure that occurred after it was sent.
     pub fn fail(self, refusal: Refusal) -> Request<Answered> {
-        self.turn(Answered {
+        self.with_state(Answered {
             failure: Some(refusal),
         })
     }
--- a/crates/alderglade-core/src/retry.rs
+++ b/crates/alderglade-core/src/retry.rs
@@ -1,13 +1,14 @@
-//! A budget for retries: a share of successes, so that retries never multiply an overload.
+//! The retry budget: retries are limited to a share of successes, so that they never multiply an
+//! overload.
 
-/// Tokens that one success earns.
-const EARN: f64 = 0.1;
-/// Tokens kept at most.
-const MOST: f64 = 50.0;
-/// Tries that one request gets at most.
-pub const MOST_ATTEMPTS: u32 = 4;
+/// Retry tokens added by one success.
+const TOKENS_PER_SUCCESS: f64 = 0.1;
+/// Maximum number of retry tokens in the budget. A new budget starts with half of them.
+const MAX_TOKENS: f64 = 50.0;
+/// Maximum number of attempts of one request, the first one included.
+pub const MAX_ATTEMPTS: u32 = 4;
 
-/// The budget of one entry host.
+/// The retry budget of one entry host.
 #[derive(Debug)]
 pub struct Budget {
     tokens: f64,
@@ -15,19 +16,22 @@
 
 impl Default for Budget {
     fn default() -> Budget {
-        Budget { tokens: MOST / 2.0 }
+        Budget {
+            tokens: MAX_TOKENS / 2.0,
+        }
     }
 }
 
 impl Budget {
-    /// Notes a success.
+    /// Records a success.
     pub fn earn(&mut self) {
-        self.tokens = (self.tokens + EARN).min(MOST);
+        self.tokens = (self.tokens + TOKENS_PER_SUCCESS).min(MAX_TOKENS);
     }
 
-    /// Takes the price of a retry, if the budget holds it and the request has tries left.
+    /// Takes one token for a retry of a request that has made `attempt` attempts. Returns `false` if
+    /// the budget or the request's attempts are exhausted.
     pub fn spend(&mut self, attempt: u32) -> bool {
-        if attempt >= MOST_ATTEMPTS || self.tokens < 1.0 {
+        if attempt >= MAX_ATTEMPTS || self.tokens < 1.0 {
             return false;
         }
         self.tokens -= 1.0;
--- a/crates/alderglade-core/src/slo.rs
+++ b/crates/alderglade-core/src/slo.rs
@@ -1,36 +1,37 @@
-//! Service-level objectives: what was good, what was not, and how fast the budget burns.
+//! Service-level objectives: counts of good and bad requests, and burn rates of the error budgets.
 //!
-//! Counts are kept in buckets of a minute, later of five, over an hour. A host publishes its buckets to the
-//! platform now and then; a report adds up what all hosts published.
+//! Counts are kept for an hour in buckets of one minute, which are later merged into buckets of five
+//! minutes. Each host publishes its buckets to the platform periodically. A report adds up the
+//! buckets that all hosts have published.
 
 use crate::Name;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Buckets kept.
-pub const BUCKETS: u64 = 60;
-/// Milliseconds in a bucket.
+/// Length of the slow window in minutes, and the maximum number of buckets kept per series.
+pub const SLOW_WINDOW_MINUTES: u64 = 60;
+/// Length of a bucket in milliseconds.
 pub const BUCKET_MS: u64 = 60_000;
-/// Buckets in the fast window.
-pub const FAST: u64 = 5;
-/// Pairs of workspace and class counted apart; the rest is counted together.
-const MOST_KEYS: usize = 8_000;
-/// Series that a host publishes one by one.
-pub const MOST_PUBLISHED: usize = 500;
-/// The name under which the rest is counted.
-const REST: &str = "(rest)";
+/// Length of the fast window in minutes. Older buckets are merged in groups of this length.
+pub const FAST_WINDOW_MINUTES: u64 = 5;
+/// Maximum number of (workspace, class) pairs counted separately; the others share one series.
+const MAX_SERIES: usize = 8_000;
+/// Maximum number of series that a host publishes separately; the others are merged into one.
+pub const MAX_PUBLISHED_SERIES: usize = 500;
+/// Workspace and class name of the series that counts all other pairs.
+const OTHERS_NAME: &str = "(rest)";
 
 /// Counts of one bucket.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Requests that were answered or failed after they were let in.
+    /// Requests that were answered or failed after admission.
     pub total: u64,
-    /// Those whose first token came within its objective.
+    /// Requests whose first token met its latency objective.
     pub prompt: u64,
-    /// Those that finished within their time.
+    /// Requests that finished within their time limit.
     pub finished: u64,
-    /// Requests that were refused unserved.
+    /// Requests that were refused without being served.
     pub refused: u64,
 }
 
@@ -43,30 +44,30 @@
     }
 }
 
-/// A workspace's class, with its objective.
+/// The counts of one caller class of a workspace, with its objective.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Series {
     /// The workspace.
     pub workspace: Name,
     /// The caller class.
     pub class: Name,
-    /// The share that has to be good, in thousandths.
+    /// Share of requests that has to be good, in thousandths.
     pub objective_per_mille: u32,
-    /// Buckets by minute of the Unix epoch, oldest first.
+    /// Buckets, oldest first.
     pub buckets: VecDeque<Bucket>,
 }
 
-/// The counts of one minute, or of several once they are older than the fast window.
+/// The counts of one minute, or of several minutes if they are older than the fast window.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "Packed", from = "Packed")]
 pub struct Bucket {
-    /// The first minute, since the Unix epoch.
+    /// The first minute of the bucket, in minutes since the Unix epoch.
     pub minute: u64,
     /// The counts.
     pub counts: Counts,
 }
 
-/// A bucket as it is published: minute, total, prompt, finished, refused.
+/// The published form of a bucket: minute, total, prompt, finished, refused.
 type Packed = (u64, u64, u64, u64, u64);
 
 impl From<Bucket> for Packed {
@@ -103,21 +104,21 @@
             let counts = Counts::default();
             self.buckets.push_back(Bucket { minute, counts });
         }
-        while self.buckets.len() as u64 > BUCKETS {
+        while self.buckets.len() as u64 > SLOW_WINDOW_MINUTES {
             self.buckets.pop_front();
         }
         let last = self.buckets.len() - 1;
         &mut self.buckets[last].counts
     }
 
-    /// Merges buckets that only the slow window counts.
+    /// Merges buckets older than twice the fast window into buckets of its length.
     fn merge_old(&mut self, minute: u64) {
         let mut merged: VecDeque<Bucket> = VecDeque::new();
         for bucket in self.buckets.drain(..) {
-            let old = bucket.minute + 2 * FAST < minute;
-            let group = |minute: u64| minute / FAST;
+            let is_old = bucket.minute + 2 * FAST_WINDOW_MINUTES < minute;
+            let group = |minute: u64| minute / FAST_WINDOW_MINUTES;
             match merged.back_mut() {
-                Some(last) if old && group(last.minute) == group(bucket.minute) => {
+                Some(last) if is_old && group(last.minute) == group(bucket.minute) => {
                     last.counts.add(bucket.counts);
                 }
                 _ => merged.push_back(bucket),
@@ -130,7 +131,7 @@
         self.buckets.iter().map(|bucket| bucket.counts.total).sum()
     }
 
-    fn over(&self, minute: u64, window: u64) -> Counts {
+    fn counts_in_window(&self, minute: u64, window: u64) -> Counts {
         let mut sum = Counts::default();
         let recent = |bucket: &&Bucket| bucket.minute + window > minute && bucket.minute <= minute;
         for bucket in self.buckets.iter().filter(recent) {
@@ -140,30 +141,30 @@
     }
 }
 
-/// How one request ended, as far as objectives are concerned.
+/// The outcome of one request with respect to its objectives.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Sample {
-    /// The time to the first token, if it came.
+    /// The time to the first token, if there was one.
     pub first_token: Option<Duration>,
-    /// Its objective.
+    /// The latency objective for the first token.
     pub objective: Duration,
     /// Whether the request finished.
     pub finished: bool,
-    /// Whether it was refused unserved.
+    /// Whether the request was refused without being served.
     pub refused: bool,
 }
 
 /// The counts of one host.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Log {
-    /// One series for each workspace and class seen.
+    /// One series for each pair of workspace and class.
     pub series: Vec<Series>,
     #[serde(skip)]
     index: BTreeMap<(Name, Name), usize>,
 }
 
 impl Log {
-    /// Counts one request.
+    /// Counts one request that ended at `wall_ms`, in milliseconds since the Unix epoch.
     pub fn add(
         &mut self,
         workspace: &Name,
@@ -189,8 +190,8 @@
 
     fn position(&mut self, workspace: &Name, class: &Name, per_mille: u32) -> usize {
         let mut key = (workspace.clone(), class.clone());
-        if self.series.len() >= MOST_KEYS && !self.index.contains_key(&key) {
-            key = (REST.into(), REST.into());
+        if self.series.len() >= MAX_SERIES && !self.index.contains_key(&key) {
+            key = (OTHERS_NAME.into(), OTHERS_NAME.into());
         }
         if let Some(position) = self.index.get(&key) {
             return *position;
@@ -205,15 +206,15 @@
         self.series.len() - 1
     }
 
-    /// Gives what is published: the series with the most requests, and the others together.
+    /// Returns the log to publish: the series with the most requests, and the others merged.
     ///
-    /// The object stays far below the platform's largest value, and the traffic within the
-    /// budget, whatever the number of workspaces.
+    /// This keeps the object far below the platform's size limit and the traffic within its budget for
+    /// any number of workspaces.
     pub fn published(&self) -> Log {
         let mut series = self.series.clone();
         series.sort_by_key(|series| std::cmp::Reverse(series.total()));
-        let others = series.split_off(series.len().min(MOST_PUBLISHED));
-        if let Some(rest) = sum_of(others) {
+        let others = series.split_off(series.len().min(MAX_PUBLISHED_SERIES));
+        if let Some(rest) = merge_series(others) {
             series.push(rest);
         }
         Log {
@@ -225,11 +226,11 @@
     /// Drops series without a bucket in the last hour and merges old buckets.
     pub fn tidy(&mut self, wall_ms: u64) {
         let minute = wall_ms / BUCKET_MS;
-        let live = |series: &Series| {
+        let is_recent = |series: &Series| {
             let newest = series.buckets.back();
-            newest.is_some_and(|bucket| bucket.minute + BUCKETS > minute)
+            newest.is_some_and(|bucket| bucket.minute + SLOW_WINDOW_MINUTES > minute)
         };
-        self.series.retain(live);
+        self.series.retain(is_recent);
         self.series
             .iter_mut()
             .for_each(|series| series.merge_old(minute));
@@ -242,8 +243,8 @@
     }
 }
 
-/// Adds series up into one.
-fn sum_of(others: Vec<Series>) -> Option<Series> {
+/// Merges several series into one. Returns `None` if there are none.
+fn merge_series(others: Vec<Series>) -> Option<Series> {
     let mut buckets: BTreeMap<u64, Counts> = BTreeMap::new();
     let objective = others
         .iter()
@@ -254,8 +255,8 @@
     }
     let buckets = buckets.into_iter();
     Some(Series {
-        workspace: REST.into(),
-        class: REST.into(),
+        workspace: OTHERS_NAME.into(),
+        class: OTHERS_NAME.into(),
         objective_per_mille: objective,
         buckets: buckets
             .map(|(minute, counts)| Bucket { minute, counts })
@@ -263,43 +264,45 @@
     })
 }
 
-/// The burn of one workspace's class.
+/// The burn rates of one caller class of a workspace.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Burn {
     /// The workspace.
     pub workspace: Name,
     /// The caller class.
     pub class: Name,
-    /// The share that has to be good, in thousandths.
+    /// Share of requests that has to be good, in thousandths.
     pub objective_per_mille: u32,
     /// Counts over the fast window.
     pub fast: Counts,
     /// Counts over the slow window.
     pub slow: Counts,
-    /// Speed at which the fast window burns the budget; `1` uses it up exactly.
+    /// Burn rate over the fast window; at `1` the error budget is used up exactly.
     pub fast_burn: f64,
-    /// Speed at which the slow window burns the budget.
+    /// Burn rate over the slow window.
     pub slow_burn: f64,
-    /// The part of the slow window's budget that is left, `1` being all, below `0` overdrawn.
+    /// Remaining share of the slow window's error budget: `1` is all of it, below `0` it is overdrawn.
     pub budget_left: f64,
 }
 
-/// Adds up what hosts published and orders it, fastest burning first.
+/// Adds up the logs of several hosts. The result is sorted by the fast burn rate, highest first.
 pub fn burn(logs: &[Log], wall_ms: u64) -> Vec<Burn> {
     let minute = wall_ms / BUCKET_MS;
     let mut sums: BTreeMap<(Name, Name), Burn> = BTreeMap::new();
     for series in logs.iter().flat_map(|log| &log.series) {
         let key = (series.workspace.clone(), series.class.clone());
-        let sum = sums.entry(key).or_insert_with(|| empty(series));
-        sum.fast.add(series.over(minute, FAST));
-        sum.slow.add(series.over(minute, BUCKETS));
+        let sum = sums.entry(key).or_insert_with(|| empty_burn(series));
+        sum.fast
+            .add(series.counts_in_window(minute, FAST_WINDOW_MINUTES));
+        sum.slow
+            .add(series.counts_in_window(minute, SLOW_WINDOW_MINUTES));
     }
-    let mut burns: Vec<Burn> = sums.into_values().map(rate).collect();
+    let mut burns: Vec<Burn> = sums.into_values().map(with_rates).collect();
     burns.sort_by(|a, b| b.fast_burn.total_cmp(&a.fast_burn));
     burns
 }
 
-fn empty(series: &Series) -> Burn {
+fn empty_burn(series: &Series) -> Burn {
     Burn {
         workspace: series.workspace.clone(),
         class: series.class.clone(),
@@ -312,7 +315,7 @@
     }
 }
 
-fn rate(mut burn: Burn) -> Burn {
+fn with_rates(mut burn: Burn) -> Burn {
     let budget = f64::from(1_000 - burn.objective_per_mille.min(999)) / 1_000.0;
     burn.fast_burn = bad_share(burn.fast) / budget;
     burn.slow_burn = bad_share(burn.slow) / budget;
@@ -320,7 +323,8 @@
     burn
 }
 
-/// The share of requests that missed either objective, whichever is worse.
+/// Returns the share of requests that missed an objective, for the objective that was missed more
+/// often.
 fn bad_share(counts: Counts) -> f64 {
     if counts.total == 0 {
         return 0.0;
--- a/crates/alderglade-core/src/stream.rs
+++ b/crates/alderglade-core/src/stream.rs
@@ -1,7 +1,7 @@
-//! Puts an answer together from frames that may come late, twice or out of order.
+//! Reassembles an answer from frames that may arrive late, twice or out of order.
 //!
-//! Each frame names its request, attempt and sequence number. Frames of another request or of an
-//! earlier attempt are dropped; the rest leave in order, each once.
+//! Each frame carries its request, attempt and sequence number. Frames of another request or another
+//! attempt are dropped. The others are delivered in order, each of them once.
 
 use crate::request::Id;
 use serde::{Deserialize, Serialize};
@@ -10,73 +10,75 @@
 /// One token of an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Frame {
-    /// The request it answers.
+    /// The request that the token answers.
     pub request: Id,
-    /// The attempt it belongs to.
+    /// The attempt that produced the token.
     pub attempt: u32,
-    /// Its position in the answer, from `0`.
+    /// Position of the token in the answer, starting at `0`.
     pub sequence: u64,
     /// The token's text.
     pub text: String,
 }
 
-/// Frames further ahead than this are dropped, so that a faulty engine can't fill memory.
-pub const WINDOW: u64 = 1_024;
+/// Frames further ahead of the next token than this are dropped, so that a faulty engine can't
+/// exhaust memory.
+pub const MAX_FRAMES_AHEAD: u64 = 1_024;
 
-/// Puts one answer together.
+/// Reassembles the tokens of one answer.
 #[derive(Debug)]
 pub struct Assembler {
     request: Id,
     attempt: u32,
     next: u64,
-    early: BTreeMap<u64, String>,
+    out_of_order: BTreeMap<u64, String>,
     dropped: u64,
 }
 
 impl Assembler {
-    /// Starts an answer to `request`.
+    /// Creates an assembler for the answer to `request`.
     pub fn new(request: Id, attempt: u32) -> Assembler {
         Assembler {
             request,
             attempt,
             next: 0,
-            early: BTreeMap::new(),
+            out_of_order: BTreeMap::new(),
             dropped: 0,
         }
     }
 
-    /// Goes on with a new attempt, from the first token not yet delivered.
+    /// Continues with a new attempt at the first token not yet delivered.
     pub fn resume(&mut self, attempt: u32) {
         self.attempt = attempt;
-        self.early.clear();
+        self.out_of_order.clear();
     }
 
-    /// Gives the sequence number of the first token not yet delivered.
+    /// Returns the sequence number of the first token not yet delivered.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Gives how many frames were dropped.
+    /// Returns the number of dropped frames.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// Says whether tokens wait for an earlier one.
+    /// Returns whether buffered tokens wait for an earlier token.
     pub fn has_gap(&self) -> bool {
-        !self.early.is_empty()
+        !self.out_of_order.is_empty()
     }
 
-    /// Takes a frame and gives the tokens that can now be delivered, in order.
+    /// Adds a frame and returns the tokens that can now be delivered, in order.
     pub fn push(&mut self, frame: Frame) -> Vec<Frame> {
-        let ours = frame.request == self.request && frame.attempt == self.attempt;
-        let wanted = frame.sequence >= self.next && frame.sequence < self.next + WINDOW;
-        if !ours || !wanted || self.early.contains_key(&frame.sequence) {
+        let is_current = frame.request == self.request && frame.attempt == self.attempt;
+        let in_window =
+            frame.sequence >= self.next && frame.sequence < self.next + MAX_FRAMES_AHEAD;
+        if !is_current || !in_window || self.out_of_order.contains_key(&frame.sequence) {
             self.dropped += 1;
             return Vec::new();
         }
-        self.early.insert(frame.sequence, frame.text);
+        self.out_of_order.insert(frame.sequence, frame.text);
         let mut ready = Vec::new();
-        while let Some(text) = self.early.remove(&self.next) {
+        while let Some(text) = self.out_of_order.remove(&self.next) {
             ready.push(Frame {
                 request: self.request,
                 attempt: self.attempt,
--- a/crates/alderglade-core/src/time.rs
+++ b/crates/alderglade-core/src/time.rs
@@ -1,6 +1,7 @@
-//! The clock that is passed in: microseconds since a start that only one process knows.
+//! Points in time, in microseconds since a start that is local to the process.
 //!
-//! A [`Time`] never travels between processes; what travels is the [`Duration`] that remains.
+//! The core receives the current time as an argument. A [`Time`] is never sent to another process;
+//! messages carry the remaining [`Duration`] instead.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
@@ -13,22 +14,22 @@
     /// A point in time that is never reached.
     pub const NEVER: Time = Time(u64::MAX);
 
-    /// Makes a point in time from whole milliseconds since the start.
+    /// Creates a point in time from milliseconds since the start.
     pub fn from_millis(millis: u64) -> Time {
         Time(millis * 1_000)
     }
 
-    /// Gives the milliseconds since the start, rounded down.
+    /// Returns the milliseconds since the start, rounded down.
     pub fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// Gives the time that has passed since `earlier`, or zero if `earlier` is later.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Gives the time left until this point, or zero if it has passed.
+    /// Returns the time remaining until this point, or zero if it has passed.
     pub fn left(self, now: Time) -> Duration {
         self.since(now)
     }
--- a/crates/alderglade-core/tests/testsuite/cell.rs
+++ b/crates/alderglade-core/tests/testsuite/cell.rs
@@ -85,7 +85,7 @@
         for serial in 0..200 {
             now = now + Duration::from_micros(u.int_in_range(0..=20_000)?);
             happen(u, &mut cell, &mut running, now)?;
-            let wanted = short(serial, placement::TYPICAL_PROMPT);
+            let wanted = short(serial, placement::TYPICAL_PROMPT_TOKENS);
             let config = Config::default();
             let best = placement::pick_short(&config, cell.engines(), &wanted, now)
                 .map(|engine| placement::first_token(engine, &wanted));
--- a/crates/alderglade-core/tests/testsuite/lease.rs
+++ b/crates/alderglade-core/tests/testsuite/lease.rs
@@ -1,7 +1,7 @@
 //! Two candidates, an object store and random delays: the fence holds.
 
 use crate::each_seed;
-use alderglade_core::lease::{Action, Candidate, LIFE, ORDER_LIFE, Versioned};
+use alderglade_core::lease::{Action, Candidate, LEASE_DURATION, ORDER_LIFE, Versioned};
 use alderglade_core::time::Time;
 use std::time::Duration;
 
@@ -83,7 +83,7 @@
     let now = Time::from_millis(1_000);
     assert_eq!(candidate.tick(true, now), Some(Action::Read));
     candidate.read(Versioned::default(), now);
-    let later = now + LIFE;
+    let later = now + LEASE_DURATION;
     let Some(Action::Write(wish)) = candidate.tick(true, later) else {
         panic!("an empty lease is taken");
     };
@@ -94,5 +94,5 @@
         "an earlier holder's orders may be under way"
     );
     assert!(candidate.may_order(false, later + ORDER_LIFE).is_some());
-    assert!(candidate.held(later + LIFE).is_none());
+    assert!(candidate.held(later + LEASE_DURATION).is_none());
 }
--- a/crates/alderglade-core/tests/testsuite/limit.rs
+++ b/crates/alderglade-core/tests/testsuite/limit.rs
@@ -1,7 +1,7 @@
 //! Rates over several hosts: the error is what was lent and not used.
 
 use crate::each_seed;
-use alderglade_core::limit::{Cost, Loan, Rate, SLICE_LIFE, Share};
+use alderglade_core::limit::{Cost, Loan, Rate, SLICE_LIFETIME, Share};
 use alderglade_core::time::Time;
 use std::time::Duration;
 
@@ -69,7 +69,7 @@
     share.lent(Cost::of(0), now);
     assert!(share.take(Cost::of(0), now));
     share.lent(Cost::of(0), now);
-    assert!(!share.take(Cost::of(0), now + SLICE_LIFE));
+    assert!(!share.take(Cost::of(0), now + SLICE_LIFETIME));
 }
 
 #[test]
--- a/crates/alderglade-core/tests/testsuite/queue.rs
+++ b/crates/alderglade-core/tests/testsuite/queue.rs
@@ -189,6 +189,9 @@
             deadline: Time(serial),
         });
     }
-    assert_eq!(queue.ahead(Lane::Urgent, &"quiet".into(), 1), 1_000);
-    assert_eq!(queue.ahead(Lane::Urgent, &"loud".into(), 1), 1_000_000);
+    assert_eq!(queue.tokens_ahead(Lane::Urgent, &"quiet".into(), 1), 1_000);
+    assert_eq!(
+        queue.tokens_ahead(Lane::Urgent, &"loud".into(), 1),
+        1_000_000
+    );
 }
--- a/crates/alderglade-core/tests/testsuite/request.rs
+++ b/crates/alderglade-core/tests/testsuite/request.rs
@@ -5,7 +5,7 @@
 use alderglade_core::error::{Kind, Ran, TABLE};
 use alderglade_core::lane::{LONG_TOKENS, Lane, Priority};
 use alderglade_core::request::{Id, Refusal, Request};
-use alderglade_core::retry::{Budget, MOST_ATTEMPTS};
+use alderglade_core::retry::{Budget, MAX_ATTEMPTS};
 use alderglade_core::time::Time;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -106,5 +106,5 @@
         "a tenth of the successes: {retries}"
     );
     (0..1_000).for_each(|_| budget.earn());
-    assert!(!budget.spend(MOST_ATTEMPTS));
+    assert!(!budget.spend(MAX_ATTEMPTS));
 }
--- a/crates/alderglade-core/tests/testsuite/stream.rs
+++ b/crates/alderglade-core/tests/testsuite/stream.rs
@@ -2,7 +2,7 @@
 
 use crate::each_seed;
 use alderglade_core::request::Id;
-use alderglade_core::stream::{Assembler, Frame, WINDOW};
+use alderglade_core::stream::{Assembler, Frame, MAX_FRAMES_AHEAD};
 
 #[test]
 fn delivers_each_token_once_in_order_whatever_comes() {
@@ -67,9 +67,9 @@
         sequence,
         text: String::new(),
     };
-    assert!(assembler.push(frame(WINDOW)).is_empty());
+    assert!(assembler.push(frame(MAX_FRAMES_AHEAD)).is_empty());
     assert!(!assembler.has_gap());
-    assert!(assembler.push(frame(WINDOW - 1)).is_empty());
+    assert!(assembler.push(frame(MAX_FRAMES_AHEAD - 1)).is_empty());
     assert!(assembler.has_gap());
     assert_eq!(assembler.dropped(), 1);
 }
