--- a/crates/alderglade-core/src/cell.rs
+++ b/crates/alderglade-core/src/cell.rs
@@ -174,13 +174,13 @@
 #[derive(Debug, Clone, Copy)]
 struct ShortLoad {
     micros: f64,
-    at: Time,
+    updated_at: Time,
 }
 
 impl ShortLoad {
     fn decay(&mut self, now: Time) {
-        let elapsed = now.since(self.at).as_secs_f64();
-        self.at = now;
+        let elapsed = now.since(self.updated_at).as_secs_f64();
+        self.updated_at = now;
         self.micros *= (-elapsed / SHORT_LOAD_DECAY.as_secs_f64()).exp();
     }
 
@@ -209,7 +209,7 @@
             slot_time: Average::new(INITIAL_SLOT_TIME),
             short_load: ShortLoad {
                 micros: 0.0,
-                at: now,
+                updated_at: now,
             },
             actions: Vec::new(),
         }
--- a/crates/alderglade-core/src/cell/forming.rs
+++ b/crates/alderglade-core/src/cell/forming.rs
@@ -103,7 +103,8 @@
 
     /// Handles an engine's answer to a reservation.
     pub fn reserved(&mut self, engine: &Name, request: Id, agreed: bool, now: Time) {
-        if !self.awaits_answer(engine, request) {
+        let is_expected = self.awaits_answer(engine, request);
+        if !is_expected {
             if agreed && !self.granted.contains_key(&request) {
                 let engine = engine.clone();
                 self.actions.push(Action::Free { engine, request });
--- a/crates/alderglade-core/src/gang.rs
+++ b/crates/alderglade-core/src/gang.rs
@@ -3,7 +3,7 @@
 //! A cell forms one gang at a time, so that two gangs of a cell can't deadlock by each holding
 //! memory that the other needs. Forming a gang has two phases. First the home sets the members'
 //! memory aside as running requests end; other requests may use it meanwhile if they end before the
-//! planned start. Then the memory is reserved at the engines, in the order of their names and within
+//! planned start of the gang. Then the memory is reserved at the engines, in the order of their names and within
 //! a time limit. If any engine refuses, all memory is released and the request waits again with its
 //! original deadline.
 
--- a/crates/alderglade-core/src/membership.rs
+++ b/crates/alderglade-core/src/membership.rs
@@ -216,8 +216,11 @@
     /// don't change the result.
     pub fn has_joined(&self, now: Time) -> bool {
         let has_waited = now.since(self.started_at) >= self.interval() * MAX_MISSED_HEARTBEATS;
-        let own = &self.own.domain;
-        let mut same_domain = self.peers.values().filter(|peer| peer.card.domain == *own);
+        let own_domain = &self.own.domain;
+        let mut same_domain = self
+            .peers
+            .values()
+            .filter(|peer| peer.card.domain == *own_domain);
         self.joined
             || has_waited
             || (self.seeded && same_domain.all(|peer| peer.last_heard.is_some()))
@@ -230,11 +233,11 @@
     }
 
     fn domain_hosts(&self) -> usize {
-        let own = &self.own.domain;
+        let own_domain = &self.own.domain;
         1 + self
             .peers
             .values()
-            .filter(|peer| peer.card.domain == *own)
+            .filter(|peer| peer.card.domain == *own_domain)
             .count()
     }
 
@@ -255,11 +258,11 @@
 
     /// Returns all other hosts of the own domain, live or not. Heartbeats go to all of them.
     pub fn domain_peers(&self) -> impl Iterator<Item = &Card> {
-        let own = &self.own.domain;
+        let own_domain = &self.own.domain;
         self.peers
             .values()
             .map(|peer| &peer.card)
-            .filter(move |card| card.domain == *own)
+            .filter(move |card| card.domain == *own_domain)
     }
 
     /// Returns the names of the other failure domains that have hosts.
@@ -323,10 +326,10 @@
         let other_domains = self.peers.values().map(|peer| &peer.card);
         let other_domains =
             other_domains.filter(|card| card.domain != self.own.domain && !card.leaving);
-        let own = rank(&self.own.name, key);
+        let own_rank = rank(&self.own.name, key);
         same_domain
             .chain(other_domains)
-            .all(|card| rank(&card.name, key) <= own)
+            .all(|card| rank(&card.name, key) <= own_rank)
     }
 
     /// Returns the share of the fleet's hosts that belong to the own domain, in thousandths.
--- a/crates/alderglade-core/tests/testsuite/cell.rs
+++ b/crates/alderglade-core/tests/testsuite/cell.rs
@@ -1,4 +1,4 @@
-//! A cell's choices against a walk over all engines.
+//! Cells: placement compared with an exhaustive search, memory accounting, gangs and adoption.
 
 use crate::each_seed;
 use crate::queue::ticket;
@@ -77,30 +77,30 @@
 }
 
 #[test]
-fn short_work_goes_where_a_walk_over_all_engines_would_send_it() {
+fn short_requests_go_where_an_exhaustive_search_would_send_them() {
     each_seed(60, |u| {
         let mut now = Time::from_millis(1_000);
         let mut cell = cell(u.int_in_range(1..=24)?, now);
         let mut running: Vec<Id> = Vec::new();
         for serial in 0..200 {
             now = now + Duration::from_micros(u.int_in_range(0..=20_000)?);
-            happen(u, &mut cell, &mut running, now)?;
-            let wanted = short(serial, placement::TYPICAL_PROMPT_TOKENS);
+            progress(u, &mut cell, &mut running, now)?;
+            let request = short(serial, placement::TYPICAL_PROMPT_TOKENS);
             let config = Config::default();
-            let best = placement::pick_short(&config, cell.engines(), &wanted, now)
-                .map(|engine| placement::first_token(engine, &wanted));
+            let best = placement::pick_short(&config, cell.engines(), &request, now)
+                .map(|engine| placement::first_token(engine, &request));
             let estimate = |cell: &Cell, name: &Name| {
                 let engine = cell.engines().find(|engine| engine.name == *name);
-                placement::first_token(engine.expect("a known engine"), &wanted)
+                placement::first_token(engine.expect("a known engine"), &request)
             };
             let before: Vec<_> = cell
                 .engines()
                 .map(|e| (e.name.clone(), estimate(&cell, &e.name)))
                 .collect();
             let waiting = cell.waiting();
-            cell.enqueue(&"h".into(), wanted.clone(), now);
+            cell.enqueue(&"h".into(), request.clone(), now);
             for (id, engines) in grants(&mut cell) {
-                if id == wanted.id && waiting == 0 {
+                if id == request.id && waiting == 0 {
                     let chosen = before.iter().find(|(name, _)| *name == engines[0]);
                     assert_eq!(chosen.map(|(_, time)| *time), best);
                 }
@@ -111,8 +111,8 @@
     });
 }
 
-/// A request ends or gives its first token, now and then.
-fn happen(
+/// Randomly lets one request end or produce its first token.
+fn progress(
     u: &mut Unstructured<'_>,
     cell: &mut Cell,
     running: &mut Vec<Id>,
@@ -132,14 +132,14 @@
 }
 
 #[test]
-fn the_book_never_gives_away_more_memory_than_there_is() {
+fn granted_memory_never_exceeds_an_engines_memory() {
     each_seed(60, |u| {
         let mut now = Time::from_millis(1_000);
         let mut cell = cell(4, now);
         let mut running: Vec<Id> = Vec::new();
         for serial in 0..200 {
             now = now + Duration::from_micros(u.int_in_range(0..=200_000)?);
-            happen(u, &mut cell, &mut running, now)?;
+            progress(u, &mut cell, &mut running, now)?;
             let long = u.ratio(1, 3)?;
             let prompt = if long {
                 u.int_in_range(40_000..=350_000)?
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn short_work_beside_a_long_prompt_stops_at_the_memory_that_is_left() {
+fn short_requests_during_a_long_one_stop_at_the_free_memory() {
     let now = Time::from_millis(1_000);
     let mut cell = cell(1, now);
     let long = ticket(0, "w", Lane::Long, 350_000, 1);
@@ -181,12 +181,12 @@
 }
 
 #[test]
-fn a_gang_is_granted_only_when_all_members_agree_and_gives_all_back_when_one_does_not() {
+fn a_gang_releases_all_its_reservations_if_one_member_refuses() {
     let now = Time::from_millis(1_000);
     let mut cell = cell(4, now);
-    let wanted = ticket(1, "w", Lane::Long, 1_000_000, 1);
-    cell.enqueue(&"h".into(), wanted.clone(), now);
-    let mut asked = Vec::new();
+    let request = ticket(1, "w", Lane::Long, 1_000_000, 1);
+    cell.enqueue(&"h".into(), request.clone(), now);
+    let mut requested = Vec::new();
     loop {
         let reserve = cell
             .take_actions()
@@ -198,13 +198,13 @@
         let Some(engine) = reserve else {
             break;
         };
-        asked.push(engine.clone());
-        cell.reserved(&engine, wanted.id, asked.len() < 3, now);
-        if asked.len() == 3 {
+        requested.push(engine.clone());
+        cell.reserved(&engine, request.id, requested.len() < 3, now);
+        if requested.len() == 3 {
             break;
         }
     }
-    assert!(asked.is_sorted());
+    assert!(requested.is_sorted());
     let freed: BTreeSet<Name> = cell
         .take_actions()
         .into_iter()
@@ -213,9 +213,9 @@
             _ => None,
         })
         .collect();
-    assert_eq!(freed, asked.iter().cloned().collect());
-    assert_eq!(cell.waiting(), 1, "it waits to try again");
-    cell.withdraw(wanted.id);
+    assert_eq!(freed, requested.iter().cloned().collect());
+    assert_eq!(cell.waiting(), 1, "the request waits for the next attempt");
+    cell.withdraw(request.id);
     assert_eq!(cell.waiting(), 0);
     assert!(
         cell.engines()
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_new_home_adopts_what_engines_hold_and_frees_what_nobody_wants() {
+fn a_new_home_adopts_holdings_and_frees_unneeded_ones() {
     let now = Time::from_millis(1_000);
     let mut cell = cell(1, now);
     let id = Id {
@@ -238,10 +238,10 @@
         age: Duration::from_secs(10),
     };
     cell.report(&report(&"e000".into(), vec![holding.clone()]), now);
-    let asked = cell.take_actions();
+    let actions = cell.take_actions();
     assert!(
-        matches!(&asked[..], [Action::Verify { to, .. }] if &**to == "other"),
-        "{asked:?}"
+        matches!(&actions[..], [Action::Verify { to, .. }] if &**to == "other"),
+        "{actions:?}"
     );
     assert_eq!(
         cell.engines().next().map(|engine| engine.free()),
@@ -260,12 +260,12 @@
 }
 
 #[test]
-fn a_request_that_cant_be_in_time_is_refused_at_once() {
+fn a_request_that_cant_meet_its_deadline_is_refused_immediately() {
     let now = Time::from_millis(1_000);
     let mut cell = cell(1, now);
-    let mut hopeless = short(1, 30_000);
-    hopeless.time_left = Duration::from_millis(500);
-    cell.enqueue(&"h".into(), hopeless, now);
+    let mut late = short(1, 30_000);
+    late.time_left = Duration::from_millis(500);
+    cell.enqueue(&"h".into(), late, now);
     let refused = cell.take_actions();
     assert!(
         matches!(&refused[..], [Action::Refuse { refusal, .. }]
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn long_work_always_has_an_engine_and_leaves_one() {
+fn long_requests_always_get_an_engine_and_leave_one() {
     let now = Time::from_millis(1_000);
     let mut cell = cell(3, now);
     for serial in 0..6 {
@@ -303,13 +303,13 @@
 }
 
 #[test]
-fn a_request_is_queued_once_however_often_it_is_sent() {
+fn a_request_sent_several_times_takes_memory_once() {
     let now = Time::from_millis(1_000);
     let mut cell = cell(1, now);
     for _ in 0..3 {
         cell.enqueue(&"h".into(), short(1, 1_000), now);
     }
-    // The grant is repeated, in case its news was lost; it takes engines and memory once.
+    // The grant is sent again, in case its message was lost. It takes engines and memory only once.
     let granted = grants(&mut cell);
     assert_eq!(granted.len(), 3);
     assert!(granted.iter().all(|grant| *grant == granted[0]));
--- a/crates/alderglade-core/tests/testsuite/lease.rs
+++ b/crates/alderglade-core/tests/testsuite/lease.rs
@@ -1,11 +1,11 @@
-//! Two candidates, an object store and random delays: the fence holds.
+//! Lease and fencing: several candidates, an object store and random delays.
 
 use crate::each_seed;
 use alderglade_core::lease::{Action, Candidate, LEASE_DURATION, ORDER_LIFE, Versioned};
 use alderglade_core::time::Time;
 use std::time::Duration;
 
-/// A candidate whose own clock differs from the others' and who is stopped now and then.
+/// A candidate whose clock differs from the others' and whose process is stopped at times.
 struct Host {
     candidate: Candidate,
     clock_ahead: Duration,
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn no_two_hosts_give_orders_at_once_and_epochs_only_grow() {
+fn no_two_hosts_send_orders_concurrently_and_epochs_only_grow() {
     each_seed(100, |u| {
         let mut store = Versioned::default();
         let mut hosts = Vec::new();
@@ -40,15 +40,15 @@
             let own = now + host.clock_ahead;
             match host.candidate.tick(u.ratio(9, 10)?, own) {
                 Some(Action::Read) => host.candidate.read(store.clone(), own),
-                Some(Action::Write(wish)) if u.ratio(1, 8)? => {
-                    // The answer is lost; the write may have taken effect.
-                    if wish.version == store.version && u.ratio(1, 2)? {
-                        store = next(&store, wish);
+                Some(Action::Write(lease)) if u.ratio(1, 8)? => {
+                    // The response is lost, but the write may have taken effect.
+                    if lease.version == store.version && u.ratio(1, 2)? {
+                        store = next(&store, lease);
                     }
                     host.candidate.wrote(None, own, own);
                 }
-                Some(Action::Write(wish)) if wish.version == store.version => {
-                    store = next(&store, wish);
+                Some(Action::Write(lease)) if lease.version == store.version => {
+                    store = next(&store, lease);
                     host.candidate.wrote(Some(store.clone()), own, own);
                 }
                 Some(Action::Write(_)) => host.candidate.wrote(None, own, own),
@@ -60,7 +60,7 @@
                     let overlap = epoch > before && now.since(at) < ORDER_LIFE;
                     assert!(
                         !overlap,
-                        "an order of epoch {before} may still be under way"
+                        "an order of epoch {before} may still be in flight"
                     );
                 }
                 last_order = Some((epoch, now));
@@ -70,28 +70,28 @@
     });
 }
 
-fn next(store: &Versioned, wish: Versioned) -> Versioned {
+fn next(store: &Versioned, lease: Versioned) -> Versioned {
     Versioned {
-        record: wish.record,
+        record: lease.record,
         version: store.version + 1,
     }
 }
 
 #[test]
-fn a_holder_that_was_stopped_for_long_no_longer_holds() {
+fn a_holder_that_was_stopped_too_long_loses_the_lease() {
     let mut candidate = Candidate::new("h".into(), 1);
     let now = Time::from_millis(1_000);
     assert_eq!(candidate.tick(true, now), Some(Action::Read));
     candidate.read(Versioned::default(), now);
     let later = now + LEASE_DURATION;
-    let Some(Action::Write(wish)) = candidate.tick(true, later) else {
-        panic!("an empty lease is taken");
+    let Some(Action::Write(lease)) = candidate.tick(true, later) else {
+        panic!("the candidate should take an empty lease");
     };
-    candidate.wrote(Some(next(&Versioned::default(), wish)), later, later);
+    candidate.wrote(Some(next(&Versioned::default(), lease)), later, later);
     assert!(candidate.may_order(true, later).is_some());
     assert!(
         candidate.may_order(false, later).is_none(),
-        "an earlier holder's orders may be under way"
+        "an earlier holder's orders may be in flight"
     );
     assert!(candidate.may_order(false, later + ORDER_LIFE).is_some());
     assert!(candidate.held(later + LEASE_DURATION).is_none());
--- a/crates/alderglade-core/tests/testsuite/limit.rs
+++ b/crates/alderglade-core/tests/testsuite/limit.rs
@@ -1,4 +1,4 @@
-//! Rates over several hosts: the error is what was lent and not used.
+//! Rate limits across several hosts: the error is bounded by the outstanding slices.
 
 use crate::each_seed;
 use alderglade_core::limit::{Cost, Loan, Rate, SLICE_LIFETIME, Share};
@@ -7,11 +7,14 @@
 
 const RATE: u64 = 100;
 
-/// What hosts start together in ten seconds, each asking its home whenever its slice is used up.
+/// Returns how many requests `hosts` hosts start together in ten seconds.
+///
+/// Each host requests a slice from the home when its slice is used up, or uses its fallback if it is
+/// `disconnected`.
 fn started(
     u: &mut arbtest::arbitrary::Unstructured<'_>,
     hosts: usize,
-    cut: bool,
+    disconnected: bool,
 ) -> arbtest::arbitrary::Result<u64> {
     let rate = Rate::new(Some(RATE), None);
     let mut now = Time::from_millis(1_000);
@@ -27,7 +30,7 @@
             started += 1;
             continue;
         }
-        if cut {
+        if disconnected {
             started += u64::from(shares[host].take_fallback(rate, hosts, cost, now).is_ok());
             continue;
         }
@@ -44,15 +47,15 @@
     each_seed(20, |u| {
         let hosts = u.int_in_range(1..=8)?;
         // The bucket starts full; each host may hold one slice of two requests when it ends.
-        let most = RATE * 11 + hosts as u64 * 2;
+        let max = RATE * 11 + hosts as u64 * 2;
         let started = started(u, hosts, false)?;
-        assert!(started <= most, "{started} of {most}");
+        assert!(started <= max, "{started} of {max}");
         Ok(())
     });
 }
 
 #[test]
-fn hosts_that_are_cut_off_keep_to_their_parts() {
+fn disconnected_hosts_stay_within_their_fallback_shares() {
     each_seed(20, |u| {
         let hosts = u.int_in_range(1..=8)?;
         let started = started(u, hosts, true)?;
@@ -62,7 +65,7 @@
 }
 
 #[test]
-fn a_slice_lapses() {
+fn a_slice_expires() {
     let rate = Rate::new(Some(RATE), None);
     let now = Time::from_millis(1_000);
     let mut share = Share::new(rate, 2, now);
@@ -73,20 +76,20 @@
 }
 
 #[test]
-fn says_when_the_rate_will_be_there() {
+fn a_refused_loan_reports_when_the_rate_is_available() {
     let rate = Rate::new(Some(10), Some(1_000));
     let now = Time::from_millis(1_000);
     let mut loan = Loan::new(rate, now);
     let mut lent = 0;
-    let later = loop {
+    let retry_after = loop {
         match loan.lend(rate, Cost::of(100), now) {
             Ok(_) => lent += 1,
-            Err(later) => break later,
+            Err(retry_after) => break retry_after,
         }
     };
     assert!(
         lent >= 5,
-        "a full bucket lends at least half of it one by one: {lent}"
+        "a full bucket lends at least half of its content in single loans: {lent}"
     );
-    assert!(loan.lend(rate, Cost::of(100), now + later).is_ok());
+    assert!(loan.lend(rate, Cost::of(100), now + retry_after).is_ok());
 }
--- a/crates/alderglade-core/tests/testsuite/main.rs
+++ b/crates/alderglade-core/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decision core, most of them against naive versions that are plainly right.
+//! Tests of the decision logic. Many compare it with a simple reference implementation.
 
 mod cell;
 mod fleet;
@@ -15,14 +15,14 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 
-/// Bytes of randomness for one case.
+/// Random bytes per case.
 const SIZE: u64 = 8_192;
 
-/// Tries a property on the same `count` seeds every time.
+/// Checks a property with `count` fixed seeds, the same in every run.
 fn each_seed(count: u64, property: impl Fn(&mut Unstructured<'_>) -> Result<()>) {
     for number in 0..count {
         arbtest::arbtest(|u| {
-            // A case ends where its randomness does; what it checked by then counts.
+            // A case ends when its random bytes are used up. Its checks up to that point count.
             let _ = property(u);
             Ok(())
         })
--- a/crates/alderglade-core/tests/testsuite/membership.rs
+++ b/crates/alderglade-core/tests/testsuite/membership.rs
@@ -1,4 +1,4 @@
-//! Who is there, and who is home.
+//! Membership: liveness, seeds, home assignment and reported revisions.
 
 use crate::each_seed;
 use alderglade_core::membership::{Card, Change, View};
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_older_incarnation_is_not_heard() {
+fn heartbeats_of_an_older_incarnation_are_dropped() {
     let now = Time::from_millis(1_000);
     let mut view = View::new(card("h0", "d", 1), now);
     let mut leaving = card("h1", "d", 2);
@@ -75,7 +75,7 @@
     view.hear(leaving, now);
     view.hear(card("h1", "d", 1), now);
     assert!(view.card(&"h1".into()).expect("a known host").leaving);
-    // Leaving is sticky for the incarnation and over with the next.
+    // Leaving stays set for the incarnation and is cleared by the next one.
     view.hear(card("h1", "d", 2), now);
     assert!(view.card(&"h1".into()).expect("a known host").leaving);
     view.hear(card("h1", "d", 3), now);
@@ -83,16 +83,16 @@
 }
 
 #[test]
-fn a_host_that_was_stopped_blames_nobody() {
+fn a_stopped_process_does_not_declare_its_peers_dead() {
     let now = Time::from_millis(1_000);
     let mut view = View::new(card("h0", "d", 1), now);
     view.hear(card("h1", "d", 1), now);
     assert_eq!(view.tick(now), [Change::Joined("h1".into())]);
-    let woken = now + Duration::from_secs(30);
-    assert_eq!(view.tick(woken), []);
-    assert_eq!(view.live_count(woken), 2);
-    let mut at = woken;
-    while at < woken + Duration::from_secs(4) {
+    let resumed = now + Duration::from_secs(30);
+    assert_eq!(view.tick(resumed), []);
+    assert_eq!(view.live_count(resumed), 2);
+    let mut at = resumed;
+    while at < resumed + Duration::from_secs(4) {
         at = at + Duration::from_millis(20);
         view.tick(at);
     }
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_fresh_host_has_joined_once_it_has_heard_all_or_waited() {
+fn a_new_host_has_joined_after_hearing_all_peers_or_a_timeout() {
     let now = Time::from_millis(1_000);
     let mut view = View::new(card("h0", "d", 1), now);
     assert!(!view.has_joined(now));
@@ -113,16 +113,16 @@
 }
 
 #[test]
-fn a_revision_that_a_peer_has_reported_is_never_forgotten() {
+fn the_highest_reported_revision_is_kept() {
     each_seed(50, |u| {
         let now = Time::from_millis(1_000);
         let mut view = View::new(card("h0", "d", 1), now);
         let mut highest = 0;
         for _ in 0..50 {
-            let mut heard = card("h1", "d", 1);
-            heard.revision = u.int_in_range(0..=100)?;
-            highest = highest.max(heard.revision);
-            view.hear(heard, now);
+            let mut heartbeat = card("h1", "d", 1);
+            heartbeat.revision = u.int_in_range(0..=100)?;
+            highest = highest.max(heartbeat.revision);
+            view.hear(heartbeat, now);
             assert_eq!(view.highest_revision(), highest);
         }
         Ok(())
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn heartbeats_slow_down_as_the_domain_grows() {
+fn the_heartbeat_interval_grows_with_the_domain() {
     let now = Time(0);
     let view_of = |hosts: usize| {
         let mut view = View::new(card("h0", "d", 1), now);
@@ -141,10 +141,10 @@
     assert_eq!(view_of(36), Duration::from_millis(1_008));
 }
 
-/// From a test of processes under load: a host that was ready answered "no settings yet" when the list
-/// came to name another host that it had not heard of.
+/// Regression test: under load, a ready host answered "no settings yet" after the list had added another
+/// host from which it had not received a heartbeat.
 #[test]
-fn a_host_that_has_joined_stays_so_when_others_are_listed() {
+fn a_joined_host_stays_joined_when_the_list_grows() {
     let start = Time::from_millis(1_000);
     let mut view = View::new(card("h0", "d", 1), start);
     view.seed(vec![card("h1", "d", 1)]);
--- a/crates/alderglade-core/tests/testsuite/queue.rs
+++ b/crates/alderglade-core/tests/testsuite/queue.rs
@@ -1,4 +1,4 @@
-//! The queue against a list that is searched from end to end.
+//! The wait queue compared with a reference implementation that searches a list.
 
 use crate::each_seed;
 use alderglade_core::lane::Lane;
@@ -8,22 +8,22 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The same order, written down as plainly as possible.
+/// Reference implementation of the queue's order.
 #[derive(Default)]
-struct Naive {
+struct Reference {
     waiting: Vec<Entry>,
     tags: BTreeMap<(usize, String), u64>,
     lane_tags: [u64; 3],
 }
 
-impl Naive {
+impl Reference {
     fn push(&mut self, entry: Entry) {
         let lane = entry.ticket.lane.index();
         let workspace = entry.ticket.workspace.to_string();
-        let waits = self.waiting.iter().any(|other| {
+        let is_waiting = self.waiting.iter().any(|other| {
             other.ticket.lane.index() == lane && *other.ticket.workspace == *workspace
         });
-        if !waits {
+        if !is_waiting {
             let tag = self.tags.entry((lane, workspace)).or_default();
             *tag = (*tag).max(self.lane_tags[lane]);
         }
@@ -82,17 +82,17 @@
 }
 
 #[test]
-fn serves_in_the_same_order_as_a_searched_list() {
+fn serves_in_the_same_order_as_a_linear_search() {
     each_seed(300, |u| {
         let mut queue = Queue::default();
-        let mut naive = Naive::default();
+        let mut reference = Reference::default();
         for serial in 0..400 {
             match u.int_in_range(0..=9)? {
                 0..=4 => {
                     let workspace = format!("w{}", u.int_in_range(0..=5)?);
                     let lane = *u.choose(&Lane::ALL)?;
                     let prompt = u.int_in_range(1..=50_000)?;
-                    // A workspace has one weight as long as it waits.
+                    // The weight of a workspace doesn't change while it waits.
                     let weight = 1 + u32::from(workspace.as_bytes()[1] % 3);
                     let entry = Entry {
                         ticket: ticket(serial, &workspace, lane, prompt, weight),
@@ -100,31 +100,31 @@
                         since: Time(0),
                         deadline: Time(u.int_in_range(0..=1_000)?),
                     };
-                    naive.push(entry.clone());
+                    reference.push(entry.clone());
                     queue.push(entry);
                 }
                 5 => {
-                    let waiting: Vec<Id> = naive.waiting.iter().map(|e| e.ticket.id).collect();
+                    let waiting: Vec<Id> = reference.waiting.iter().map(|e| e.ticket.id).collect();
                     if !waiting.is_empty() {
                         let id = *u.choose(&waiting)?;
                         queue.remove(id);
-                        naive.take(id, false);
+                        reference.take(id, false);
                     }
                 }
                 _ => {
                     let lane = *u.choose(&Lane::ALL)?;
-                    if let Some(id) = naive.peek(lane) {
+                    if let Some(id) = reference.peek(lane) {
                         queue.serve(id);
-                        naive.take(id, true);
+                        reference.take(id, true);
                     }
                 }
             }
             for lane in Lane::ALL {
                 assert_eq!(
                     queue.peek(lane).map(|entry| entry.ticket.id),
-                    naive.peek(lane)
+                    reference.peek(lane)
                 );
-                let of_lane = naive
+                let of_lane = reference
                     .waiting
                     .iter()
                     .filter(|entry| entry.ticket.lane == lane);
@@ -133,10 +133,10 @@
                     of_lane.map(|entry| entry.ticket.prompt).sum::<u64>()
                 );
             }
-            assert_eq!(queue.len(), naive.waiting.len());
+            assert_eq!(queue.len(), reference.waiting.len());
             assert_eq!(
                 queue.next_deadline(),
-                naive.waiting.iter().map(|e| e.deadline).min()
+                reference.waiting.iter().map(|e| e.deadline).min()
             );
         }
         Ok(())
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_loud_workspace_takes_no_more_than_its_share() {
+fn a_busy_workspace_gets_no_more_than_its_share() {
     let mut queue = Queue::default();
     let mut serial = 0;
     let mut push = |queue: &mut Queue, workspace: &str, count: usize, weight: u32| {
--- a/crates/alderglade-core/tests/testsuite/request.rs
+++ b/crates/alderglade-core/tests/testsuite/request.rs
@@ -1,4 +1,4 @@
-//! The life cycle, the table of kinds, and times to come back.
+//! The request life cycle, the table of error kinds, retry times and the retry budget.
 
 use crate::queue::ticket;
 use alderglade_core::admission::come_back;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 #[test]
-fn the_table_is_in_the_order_of_its_kinds_and_has_no_doubles() {
+fn the_table_is_in_the_order_of_its_kinds_and_has_no_duplicates() {
     for (position, row) in TABLE.iter().enumerate() {
         assert_eq!(row.kind as usize, position);
         assert_eq!(row.kind.row().label, row.label);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn what_was_not_sent_is_refused_as_not_run() {
+fn an_unsent_request_is_refused_as_not_run() {
     let received = Request::receive(ticket(1, "w", Lane::Urgent, 10, 1), Time(5));
     let expired = Refusal::new(Kind::ExpiredRunning, Duration::ZERO);
     assert_eq!(expired.ran, Ran::Unknown);
@@ -33,7 +33,7 @@
         answered.state.failure.map(|refusal| refusal.ran),
         Some(Ran::No)
     );
-    // An answer about an earlier request with the same key says what is known of that one.
+    // An answer about an earlier request with the same key describes that request.
     let received = Request::receive(ticket(1, "w", Lane::Urgent, 10, 1), Time(5));
     let held = received
         .admit()
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn what_was_sent_is_answered_as_its_backend_said() {
+fn a_sent_request_is_answered_as_its_backend_reported() {
     let request = Request::receive(ticket(1, "w", Lane::Urgent, 10, 1), Time(5));
     let sent = request.admit().place(vec!["e1".into()]).dispatch();
     let failed = sent.fail(Refusal::new(Kind::BackendFailed, Duration::ZERO));
@@ -60,14 +60,14 @@
 }
 
 #[test]
-fn a_long_prompt_is_long_work_whatever_its_class() {
+fn a_long_prompt_uses_the_long_lane_for_any_class() {
     assert_eq!(Lane::of(Priority::Urgent, LONG_TOKENS + 1), Lane::Long);
     assert_eq!(Lane::of(Priority::Urgent, LONG_TOKENS), Lane::Urgent);
     assert_eq!(Lane::of(Priority::Batch, 1), Lane::Standard);
 }
 
 #[test]
-fn a_burst_that_is_refused_together_comes_back_spread() {
+fn retry_times_of_a_refused_burst_are_spread() {
     let backlog = Duration::from_secs(10);
     let times: Vec<Duration> = (0..1_000)
         .map(|serial| {
@@ -96,7 +96,7 @@
     for _ in 0..1_000 {
         retries += u32::from(budget.spend(1));
     }
-    assert_eq!(retries, 25, "what a fresh budget holds");
+    assert_eq!(retries, 25, "the content of a new budget");
     for _ in 0..1_000 {
         budget.earn();
         retries += u32::from(budget.spend(1));
--- a/crates/alderglade-core/tests/testsuite/slo.rs
+++ b/crates/alderglade-core/tests/testsuite/slo.rs
@@ -1,4 +1,4 @@
-//! Burn of budgets over two windows.
+//! Burn rates of error budgets over the fast and the slow window.
 
 use alderglade_core::slo::{BUCKET_MS, Log, Sample, burn};
 use std::time::Duration;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn burns_one_when_exactly_the_budget_is_bad() {
+fn the_burn_rate_is_one_when_exactly_the_budget_is_used() {
     let mut logs = [Log::default(), Log::default()];
     let now = 100 * BUCKET_MS;
     for number in 0..200 {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_fast_window_forgets_and_the_slow_one_remembers() {
+fn the_fast_window_drops_old_buckets_and_the_slow_one_keeps_them() {
     let mut log = Log::default();
     let bad = 100 * BUCKET_MS;
     log.add(&"w".into(), &"desk".into(), 900, sample(900, true), bad);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn refusals_are_counted_apart() {
+fn refusals_are_counted_separately() {
     let mut log = Log::default();
     let refused = Sample {
         first_token: None,
--- a/crates/alderglade-core/tests/testsuite/stream.rs
+++ b/crates/alderglade-core/tests/testsuite/stream.rs
@@ -1,17 +1,17 @@
-//! Frames in any order, doubled, foreign or of other tries.
+//! Reassembly of frames that are out of order, duplicated, or of other requests or attempts.
 
 use crate::each_seed;
 use alderglade_core::request::Id;
 use alderglade_core::stream::{Assembler, Frame, MAX_FRAMES_AHEAD};
 
 #[test]
-fn delivers_each_token_once_in_order_whatever_comes() {
+fn delivers_each_token_once_and_in_order() {
     each_seed(300, |u| {
-        let ours = Id {
+        let request = Id {
             incarnation: 1,
             serial: 1,
         };
-        let mut assembler = Assembler::new(ours, 1);
+        let mut assembler = Assembler::new(request, 1);
         let mut attempt = 1;
         let mut delivered = Vec::new();
         for _ in 0..300 {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_token_that_comes_again_is_dropped_and_takes_no_memory() {
+fn a_duplicate_token_is_dropped_and_not_buffered() {
     let id = Id::default();
     let mut assembler = Assembler::new(id, 1);
     let frame = || Frame {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn frames_far_ahead_take_no_memory() {
+fn frames_far_ahead_are_not_buffered() {
     let id = Id::default();
     let mut assembler = Assembler::new(id, 1);
     let frame = |sequence| Frame {
