--- a/crates/alderglade-serve/src/node.rs
+++ b/crates/alderglade-serve/src/node.rs
@@ -1,11 +1,12 @@
-//! The state of one entry host, shared by everything that runs on its one thread.
+//! The state of one entry host, shared by all tasks on its single thread.
 //!
-//! Decisions are those of `alderglade_core::fleet`; the host keeps what they go by, and notes here what
-//! its tasks learn and take up.
+//! The decisions are made in `alderglade_core::fleet`. The host keeps their inputs, and its tasks record here what
+//! they learn and use.
 
 mod catch_up;
 mod choice;
 mod cold;
+mod connectivity;
 mod era;
 mod evacuation;
 mod faults;
@@ -16,7 +17,6 @@
 mod permit;
 mod progress;
 mod quarantine;
-mod reach;
 mod relay;
 mod restart;
 mod retry_budget;
@@ -28,7 +28,7 @@
 
 pub use alderglade_core::fleet::message::Host;
 pub use choice::Unavailability;
-pub use guard::{CallGuard, Connected, InFlight, QueueGuard, ReservationGuard};
+pub use guard::{CallGuard, ConnectionGuard, InFlight, QueueGuard, ReservationGuard};
 pub use hosts::Hosts;
 pub use outbox::{Envelope, Recipients};
 pub use permit::{NotPermitted, Permit};
@@ -57,98 +57,99 @@
 use std::sync::Arc;
 use tokio::sync::{Notify, watch};
 
-/// The part of the host's memory that is kept for callers and servers that read slowly, beside what each connection has by
-/// itself: a tenth. Two thousand connections take most of the smallest host's memory.
-const KEPT_PART: usize = 10;
+/// The host's memory divided by this is reserved for callers and servers that read slowly, in addition to what each
+/// connection uses by itself. Two thousand connections use most of the smallest host's memory.
+const BUFFER_MEMORY_DIVISOR: usize = 10;
 
 /// One entry host.
 pub struct Node {
-    /// Its settings.
+    /// The host's settings.
     pub settings: Settings,
-    /// The deployment's wire.
+    /// Translates between the deployment's formats and the host's.
     pub translator: Box<dyn Translator>,
-    /// The one HTTP client.
+    /// The host's only HTTP client.
     pub client: Rc<Client>,
-    /// What may be kept for callers and servers that read slowly.
+    /// Memory for callers and servers that read slowly.
     pub memory: Arc<Pool>,
-    /// What changes.
+    /// The mutable state.
     pub state: RefCell<State>,
-    /// Figures for operators.
+    /// Metrics for operators.
     pub metrics: Metrics,
-    /// Wakes calls to the store that may hang, and whoever waits to make one: it is back, or may be out of reach.
+    /// Wakes calls to the store that may hang and tasks that wait to make one: the store is available again, or may
+    /// be unreachable.
     pub ask_store: Notify,
-    /// When the process began.
-    began: Time,
+    /// When the process started.
+    started: Time,
     /// Whether the store answers.
     store: Cell<store::Contact>,
-    /// How much the engines have had to read lately.
+    /// A moving average of how much the engines have to read.
     pressure: Cell<choice::Pressure>,
-    /// Wakes whoever tells peers what has changed.
+    /// Wakes the task that sends changes to peers.
     pub loads_changed: Notify,
-    /// Wakes requests that wait for what a host that has just started must learn first.
-    learnt: Notify,
-    /// Messages for single hosts that have not been sent yet.
+    /// Wakes requests that wait until a host that has just started can serve them.
+    startup_progress: Notify,
+    /// Messages for single hosts that were not sent yet.
     envelopes: RefCell<Vec<Envelope>>,
-    /// Wakes whoever sends these.
+    /// Wakes the task that sends the envelopes.
     pub envelopes_queued: Notify,
-    /// Wakes whoever waits for a part of another host's budget.
-    lent: Notify,
-    /// Questions for grants that are not answered yet.
-    claims: RefCell<permit::Claims>,
-    /// Wakes whoever waits for the answer of a server that may have started again.
-    restarted: Notify,
-    /// What was decided on requests and the store has not been told yet.
+    /// Wakes the tasks that wait for a loan from another host's retry budget.
+    loan_answered: Notify,
+    /// Grant requests that have no answer yet.
+    grant_requests: RefCell<permit::OpenGrantRequests>,
+    /// Wakes the tasks that wait for the answer of a server that may have restarted.
+    server_restarted: Notify,
+    /// Quarantine verdicts that were not written to the store yet.
     verdicts: RefCell<Vec<Verdict>>,
-    /// Wakes whoever tells the store.
-    verdicts_made: Notify,
-    /// Wakes whoever waits for a reason to ask the store.
+    /// Wakes the task that writes the verdicts to the store.
+    verdicts_ready: Notify,
+    /// Wakes the tasks that wait for a reason to query the store.
     pub store_status_changed: Notify,
-    /// This lifetime of the process: where the store was when it took the host's entry.
+    /// This incarnation of the process: the store's position when it accepted the host's entry.
     pub incarnation: Cell<Position>,
     /// The store's eras.
     eras: era::Eras,
-    /// What others tell this host as it starts.
+    /// The queries to other hosts at startup.
     startup_sync: startup_sync::StartupSync,
     /// Since when other hosts have had a newer configuration.
     behind_since: Cell<Option<Time>>,
     stopping_since: watch::Sender<Option<Time>>,
     /// Whether requests without an answer are cut off.
     ending: watch::Sender<bool>,
-    in_hand: progress::InHand,
-    /// Connections of callers that are open.
+    requests_in_flight: progress::RequestsInFlight,
+    /// The number of open connections of callers.
     connections: Cell<usize>,
 }
 
 impl Node {
-    /// Makes a host that knows nothing yet.
+    /// Creates a host that knows nothing yet.
     ///
     /// # Errors
     ///
-    /// Where the metrics can't be set up.
+    /// Returns an error if the metrics can't be registered.
     pub fn new(
         settings: Settings,
         translator: Box<dyn Translator>,
     ) -> Result<Rc<Node>, prometheus::Error> {
         Ok(Rc::new(Node {
-            memory: Pool::new(settings.memory / KEPT_PART),
+            memory: Pool::new(settings.memory / BUFFER_MEMORY_DIVISOR),
             settings,
             translator,
             client: Rc::default(),
             state: RefCell::default(),
             metrics: Metrics::new()?,
             ask_store: Notify::new(),
-            began: clock::now(),
+            started: clock::now(),
             store: Cell::default(),
             pressure: Cell::default(),
             loads_changed: Notify::new(),
-            learnt: Notify::new(),
+            startup_progress: Notify::new(),
             envelopes: RefCell::default(),
             envelopes_queued: Notify::new(),
-            lent: Notify::new(),
-            claims: RefCell::default(),
-            restarted: Notify::new(),
+            loan_answered: Notify::new(),
+            grant_requests: RefCell::default(),
+            server_restarted: Notify::new(),
             verdicts: RefCell::default(),
-            verdicts_made: Notify::new(),
+            verdicts_ready: Notify::new(),
             store_status_changed: Notify::new(),
             incarnation: Cell::default(),
             eras: era::Eras::default(),
@@ -156,23 +157,23 @@
             behind_since: Cell::new(None),
             stopping_since: watch::Sender::new(None),
             ending: watch::Sender::new(false),
-            in_hand: progress::InHand::default(),
+            requests_in_flight: progress::RequestsInFlight::default(),
             connections: Cell::new(0),
         }))
     }
 
-    /// Gives the number of requests in hand.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
-        self.in_hand.len()
+        self.requests_in_flight.len()
     }
 
-    /// Gives the number of callers' connections that are open.
+    /// Returns the number of open connections of callers.
     pub fn connections(&self) -> usize {
         self.connections.get()
     }
 
-    /// Says whether new connections should come here: the host knows what to serve, isn't stopping, and
-    /// isn't cut off from the store.
+    /// Returns whether the load balancer should send new connections to this host: it knows what to serve, isn't
+    /// stopping, and isn't disconnected from the store.
     pub fn ready(&self) -> bool {
         let state = self.state.borrow();
         let known = state.config.is_some() && !state.directory.is_empty();
@@ -180,7 +181,7 @@
         known && !self.is_stopping() && !state.connectivity.is_disconnected(clock::now())
     }
 
-    /// Says whether keys may be trusted now.
+    /// Returns whether API keys may be trusted now.
     pub fn trusts_keys(&self) -> bool {
         let Some(bound) = self.settings.revocation else {
             return true;
@@ -189,41 +190,45 @@
         state.freshness.trusts_keys(clock::now(), bound)
     }
 
-    /// Notes a request in hand until the guard is dropped.
+    /// Counts a request in flight until the guard is dropped.
     pub fn track_request(self: &Rc<Node>) -> InFlight {
-        let progress = Rc::new(Progress::begin(clock::now()));
+        let progress = Rc::new(Progress::new(clock::now()));
         self.metrics.in_flight.inc();
         if self.is_stopping() {
             self.metrics.taken_stopping.inc();
         }
         InFlight {
             node: self.clone(),
-            number: self.in_hand.add(progress.clone()),
+            number: self.requests_in_flight.add(progress.clone()),
             progress,
         }
     }
 
-    /// Notes an open connection of a caller until the guard is dropped.
-    pub fn track_connection(self: &Rc<Node>) -> Connected {
+    /// Counts an open connection of a caller until the guard is dropped.
+    pub fn track_connection(self: &Rc<Node>) -> ConnectionGuard {
         self.connections.set(self.connections.get() + 1);
         self.metrics.caller_connections.inc();
-        Connected { node: self.clone() }
+        ConnectionGuard { node: self.clone() }
     }
 
-    /// Notes a placement in the book until the guard is dropped.
-    pub fn reserve(self: &Rc<Node>, hold: Reservation) -> ReservationGuard {
-        let id = self.state.borrow_mut().loads.reserve(hold, clock::now());
+    /// Adds a reservation to the load table until the guard is dropped.
+    pub fn reserve(self: &Rc<Node>, reservation: Reservation) -> ReservationGuard {
+        let id = self
+            .state
+            .borrow_mut()
+            .loads
+            .reserve(reservation, clock::now());
         self.loads_changed.notify_one();
         ReservationGuard::new(self.clone(), id)
     }
 
-    /// Takes a prompt into the line of those that wait, until the guard is dropped.
+    /// Adds a prompt to the wait queue until the guard is dropped.
     pub fn enqueue(self: &Rc<Node>, demand: Demand) -> QueueGuard {
         let id = self.state.borrow_mut().loads.enqueue(demand, clock::now());
         QueueGuard::new(self.clone(), id)
     }
 
-    /// Notes a call to a plain backend server until the guard is dropped.
+    /// Counts a call to a plain backend server until the guard is dropped.
     pub fn track_call(self: &Rc<Node>, server: Key) -> CallGuard {
         *self.state.borrow_mut().calls.entry(server).or_default() += 1;
         CallGuard {
@@ -232,7 +237,7 @@
         }
     }
 
-    /// Notes how a call to a server ended.
+    /// Records the outcome of a call to a server.
     pub fn record_outcome(&self, server: Key, outcome: Outcome) {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
@@ -242,10 +247,10 @@
         }
     }
 
-    /// Notes that the server at an address refuses work, by the word of the one that was `asked`, and has
-    /// peers told. One that refuses for itself may only be full, which concerns nobody else.
+    /// Records that the server at an address refuses work, as reported by the server that was `asked`, and informs
+    /// the peers. A server that refuses on its own behalf may only be full, which concerns no other host.
     ///
-    /// Gives the server, if it is known.
+    /// Returns the server if it is known.
     pub fn record_refusing_server(&self, address: SocketAddr, asked: &Server) -> Option<Key> {
         let state = &mut *self.state.borrow_mut();
         let server = state.directory.at(address)?;
@@ -262,51 +267,51 @@
         Some(key)
     }
 
-    /// Gives how far the store is known with regard to the backend servers.
+    /// Returns the store's position up to which the backend servers are known.
     pub fn servers_position(&self) -> Position {
         self.state.borrow().directory.position()
     }
 
-    /// Says whether a server is known, listed and not leaving, whether new work may go to its failure domain or not.
+    /// Returns whether a server is known, listed and not leaving, whether its failure domain is evacuated or not.
     pub fn is_active(&self, key: Key) -> bool {
         self.state.borrow().directory.active(key).is_some()
     }
 
-    /// Gives a server that new work may go to.
+    /// Returns a server if new work may be sent to it.
     pub fn server(&self, key: Key) -> Option<Server> {
         self.state.borrow().directory.get(key).cloned()
     }
 
-    /// Lets what is over its time lapse; called a few times a second.
+    /// Removes expired state; called several times a second.
     pub fn tick(&self) {
         let now = clock::now();
         self.client.expire();
         self.tick_quarantine();
         let mut state = self.state.borrow_mut();
-        let dropped = state.directory.expire(now);
-        let silent = state.loads.expire(now);
-        let taken_back = state.evacuations.expire(now);
+        let expired_servers = state.directory.expire(now);
+        let lost = state.loads.expire(now);
+        let expired_evacuations = state.evacuations.expire(now);
         let joined = std::mem::take(&mut state.newcomers);
         self.set_gauges(&mut state, now);
         drop(state);
-        self.look_for_store();
+        self.observe_store();
         self.store_status_changed.notify_waiters();
-        tell_peers(joined, silent);
+        log_peers(joined, lost);
         self.regroup();
-        if dropped {
-            self.tell_servers();
+        if expired_servers {
+            self.on_servers_changed();
         }
-        if taken_back {
-            self.put_evacuations_in_force();
+        if expired_evacuations {
+            self.enforce_evacuations();
         }
     }
 
-    /// Sets the figures for operators that only show how things stand.
+    /// Updates the gauges that show the current state.
     fn set_gauges(&self, state: &mut State, now: Time) {
         let metrics = &self.metrics;
         metrics.repeats_left.set(self.retries_left(state, now));
-        let passed_over = state.health.ejected_count(now) as i64;
-        metrics.passed_over.set(passed_over);
+        let ejected = state.health.ejected_count(now) as i64;
+        metrics.passed_over.set(ejected);
         metrics.limited.set(state.limits.count() as i64);
         metrics.hosts.set(state.loads.host_count() as i64);
         let age = state.freshness.age(now);
@@ -317,21 +322,26 @@
     }
 }
 
-/// Writes which hosts have come and which are silent: a line for all of them, since each host writes it, and a failure
-/// domain or the whole deployment may come and go at once.
-fn tell_peers(mut joined: Vec<Name>, mut silent: Vec<Name>) {
-    /// Hosts that are named in a line.
-    const NAMED: usize = 4;
-    for list in [&mut joined, &mut silent] {
+/// Logs which hosts have joined and which are silent. Each host logs this, and a failure domain or the whole
+/// deployment may join or leave at once, so one line lists all of them.
+fn log_peers(mut joined: Vec<Name>, mut lost: Vec<Name>) {
+    /// Maximum number of hosts that are named in a line.
+    const MAX_NAMED_HOSTS: usize = 4;
+    for list in [&mut joined, &mut lost] {
         list.sort();
     }
-    let named = |list: &[Name]| list.iter().take(NAMED).cloned().collect::<Vec<_>>();
+    let named = |list: &[Name]| {
+        list.iter()
+            .take(MAX_NAMED_HOSTS)
+            .cloned()
+            .collect::<Vec<_>>()
+    };
     if !joined.is_empty() {
         let (peers, count) = (&*named(&joined), joined.len());
         event::write(&Record::PeerJoined { peers, count });
     }
-    if !silent.is_empty() {
-        let (peers, count) = (&*named(&silent), silent.len());
+    if !lost.is_empty() {
+        let (peers, count) = (&*named(&lost), lost.len());
         event::write(&Record::PeerLost { peers, count });
     }
 }
--- a/crates/alderglade-serve/src/node/catch_up.rs
+++ b/crates/alderglade-serve/src/node/catch_up.rs
@@ -1,4 +1,5 @@
-//! The configuration from another host, where the store gives nothing as new: it has come back from a copy, or is away.
+//! Copies the configuration from another host if the store doesn't provide one as new: it was restored from a copy,
+//! or it is unavailable.
 
 use super::Node;
 use crate::clock;
@@ -11,68 +12,73 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long another host must have had a newer configuration before it is asked for it: watchers pass on what has changed
-/// within milliseconds, and the store gives the rest, up to sixty times slower than its 4 ms where it is slow.
-const BEHIND: Duration = Duration::from_millis(500);
+/// How long another host must have had a newer configuration before this host copies it. Watchers forward changes
+/// within milliseconds, and the store provides the rest, even when it is up to sixty times slower than its usual 4
+/// ms.
+const CATCH_UP_DELAY: Duration = Duration::from_millis(500);
 
-/// Where a host has what this one lacks.
+/// A host that has a newer configuration.
 #[derive(Debug, Clone, Copy)]
-struct Source {
+struct ConfigSource {
     address: SocketAddr,
-    near: bool,
+    same_domain: bool,
 }
 
 impl Node {
-    /// Names a host to have the configuration from, if this one has been behind for a while; one of the own failure domain
-    /// where there is such. Once named, no other one is for as long again.
+    /// Returns a host to copy the configuration from, if this one has been behind for a while; preferably a host of
+    /// the own failure domain. After that, no other host is returned until the same delay has passed again.
     pub fn config_source(&self) -> Option<SocketAddr> {
         let now = clock::now();
-        let sources = self.newer_configs(now);
+        let sources = self.newer_config_sources(now);
         if sources.is_empty() {
             self.behind_since.set(None);
             return None;
         }
         let since = self.behind_since.get().unwrap_or(now);
         self.behind_since.set(Some(since));
-        if now.since(since) < BEHIND {
+        if now.since(since) < CATCH_UP_DELAY {
             return None;
         }
         self.behind_since.set(Some(now));
-        let near = sources.iter().any(|source| source.near);
-        let best = sources.iter().filter(|source| source.near == near);
-        best.choose(&mut rand::rng()).map(|source| source.address)
+        let same_domain = sources.iter().any(|source| source.same_domain);
+        let preferred = sources
+            .iter()
+            .filter(|source| source.same_domain == same_domain);
+        preferred
+            .choose(&mut rand::rng())
+            .map(|source| source.address)
     }
 
-    /// Takes the configuration that another host has given.
-    pub fn take_copy(&self, config: Config, from: SocketAddr) {
+    /// Applies the configuration that was copied from another host.
+    pub fn apply_copied_config(&self, config: Config, from: SocketAddr) {
         let version = config.version;
         if version > self.state.borrow().config_version() {
             event::write(&Record::ConfigCopied { version, from });
-            self.take_config(config);
+            self.apply_config(config);
         }
     }
 
-    /// Gives the configuration in force, to be handed on to a host that lacks it.
+    /// Returns the configuration in force, to be sent to a host that lacks it.
     pub fn config_in_force(&self) -> Option<Rc<Config>> {
         self.state.borrow().config.clone()
     }
 
-    /// Lists the hosts heard of lately that have the newest configuration, where that is newer than the own one.
-    fn newer_configs(&self, now: Time) -> Vec<Source> {
+    /// Returns the live hosts that have the newest configuration, if that is newer than the own one.
+    fn newer_config_sources(&self, now: Time) -> Vec<ConfigSource> {
         let state = self.state.borrow();
-        let own = state.config_version();
-        let heard = state.loads.live_hosts(&self.settings.domain, now);
-        let newest = heard.clone().map(|host| host.store.config).max();
-        let Some(newest) = newest.filter(|newest| *newest > own) else {
+        let own_version = state.config_version();
+        let live = state.loads.live_hosts(&self.settings.domain, now);
+        let newest = live.clone().map(|host| host.store.config).max();
+        let Some(newest) = newest.filter(|newest| *newest > own_version) else {
             return Vec::new();
         };
         let source = |host: Neighbour<'_>| {
-            Some(Source {
+            Some(ConfigSource {
                 address: state.hosts.get(host.name)?,
-                near: host.same_domain,
+                same_domain: host.same_domain,
             })
         };
-        let newer = heard.filter(|host| host.store.config == newest);
+        let newer = live.filter(|host| host.store.config == newest);
         newer.filter_map(source).collect()
     }
 }
--- a/crates/alderglade-serve/src/node/choice.rs
+++ b/crates/alderglade-serve/src/node/choice.rs
@@ -1,6 +1,6 @@
-//! What a host goes by when it chooses backend servers.
+//! Inputs to the choice of a backend server.
 
-use super::state::closed_for;
+use super::state::unavailable_for;
 use super::{Node, State};
 use crate::clock;
 use alderglade_core::Name;
@@ -16,48 +16,48 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// The most that chance adds to the cost of a plain backend server, so that hosts with equal figures
-/// don't all choose the same one. Costs are counted in loads: `1.0` is as many own calls as the server
-/// works on at once.
-const DRAW: f64 = 0.1;
-/// What a server in another failure domain costs, in loads; less than chance, it only leans to near ones.
-const FAR: f64 = 0.05;
-/// What a doubted server costs, in loads; above any real load, so that it is taken where there is no other.
-const DOUBTED: f64 = 100.0;
-/// What a server costs that the request was sent to before, in loads; above doubt.
-const TRIED: f64 = 1_000.0;
+/// Maximum random addition to the cost of a plain backend server, so that hosts with equal inputs don't all choose
+/// the same one. The unit of costs is the load: `1.0` is as many of this host's calls as the server works on at once.
+const MAX_RANDOM_COST: f64 = 0.1;
+/// Cost of a server in another failure domain, in loads. It is below the random addition, so it is only a slight
+/// preference for the own domain.
+const REMOTE_DOMAIN_COST: f64 = 0.05;
+/// Cost of a suspect server, in loads. It is above any real load, so the server is used only if there is no other.
+const SUSPECT_COST: f64 = 100.0;
+/// Cost of a server to which the request was already sent, in loads; above the cost of a suspect server.
+const TRIED_COST: f64 = 1_000.0;
 
-/// Engines of the own group with fewer of which a host sends to those of all groups. It sees the load of its group's engines
-/// only, so that one of them is better than any other.
-const LEAST_ENGINES: usize = 1;
-/// The same for plain backend servers: as many as a request may be sent to, one after the other.
-const LEAST_SERVERS: usize = 4;
+/// With fewer engines than this in its own group, a host uses the engines of all groups. It knows the load of its own
+/// group's engines only, so even a single one of them is preferred over others.
+const MIN_GROUP_ENGINES: usize = 1;
+/// The same limit for plain backend servers: as many as a request may be sent to, one after the other.
+const MIN_GROUP_SERVERS: usize = 4;
 
-/// When a caller should come back whose service is evacuated everywhere. Only the operator knows when that ends; it is asked
-/// seldom enough to cost little, and soon enough to find it ended.
-const EVACUATED: Duration = Duration::from_millis(2_000);
-/// When a caller should come back whose service has no server in its homes.
-const NO_SERVER: Duration = Duration::from_millis(1_000);
+/// When a caller should retry if its service is evacuated everywhere. Only the operator knows when the evacuation
+/// ends. Retries at this interval are rare enough to cost little and frequent enough to notice the end soon.
+const EVACUATED_RETRY_DELAY: Duration = Duration::from_millis(2_000);
+/// When a caller should retry if its service has no server in the allowed regions.
+const NO_SERVER_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Why no server of a service can take a request now, and when its caller should come back.
+/// Why no server of a service can accept a request now, and when its caller should retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Unavailability {
-    /// What the caller is told.
+    /// The error kind that is sent to the caller.
     pub kind: ErrorKind,
-    /// When to come back.
+    /// The delay before a retry.
     pub after: Duration,
 }
 
-/// How much the engines have had to read lately.
+/// A moving average of how much the engines have to read.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Pressure {
     mean: f64,
-    at: Time,
+    updated: Time,
 }
 
-/// Says whether a server should be passed over where others can serve: it has failed, or it lies in
-/// another failure domain that seems cut off from the own one.
-fn doubts(
+/// Returns whether a server should be avoided if others can serve: it has failed, or it is in another failure domain
+/// that seems to be disconnected from the own one.
+fn is_suspect(
     loads: &LoadTable,
     health: &Health,
     own_domain: &Name,
@@ -65,50 +65,50 @@
     now: Time,
 ) -> bool {
     let elsewhere = server.domain != *own_domain;
-    let cut_off = elsewhere && loads.is_domain_silent(&server.domain, now);
-    cut_off || health.is_suspect(server.key(), own_domain, now)
+    let domain_silent = elsewhere && loads.is_domain_silent(&server.domain, now);
+    domain_silent || health.is_suspect(server.key(), own_domain, now)
 }
 
 impl Node {
-    /// Says whether a request with these homes may run at a server.
+    /// Returns whether a request that is restricted to `homes` may run at a server.
     pub fn may_run_at(&self, homes: &Homes, server: &Server) -> bool {
         homes.is_unrestricted() || homes.allow(self.settings.regions.get(&server.domain))
     }
 
-    /// Says why no server of a service takes a request with these homes now; `None` where one does.
+    /// Returns why no server of a service accepts a request that is restricted to `homes` now; `None` if one does.
     pub fn unavailability(&self, service: &str, homes: &Homes) -> Option<Unavailability> {
         let now = clock::now();
         let state = self.state.borrow();
         let directory = &state.directory;
-        let open = directory.of_service(service);
-        let open = open.filter(|server| self.may_run_at(homes, server));
-        let mut opens_in: Option<Duration> = None;
-        for server in open {
-            let left = state.closed_for(server.key(), now);
+        let candidates = directory.of_service(service);
+        let candidates = candidates.filter(|server| self.may_run_at(homes, server));
+        let mut available_in: Option<Duration> = None;
+        for server in candidates {
+            let left = state.unavailable_for(server.key(), now);
             if left.is_zero() {
                 return None;
             }
-            opens_in = Some(opens_in.map_or(left, |least| least.min(left)));
+            available_in = Some(available_in.map_or(left, |least| least.min(left)));
         }
-        let (kind, after) = match opens_in {
+        let (kind, after) = match available_in {
             Some(after) => (ErrorKind::Overloaded, after),
             None => {
                 let mut known = directory.active_of(service).peekable();
-                let exists = known.peek().is_some();
+                let any_known = known.peek().is_some();
                 if known.any(|server| self.may_run_at(homes, server)) {
-                    (ErrorKind::NoCapacity, EVACUATED)
-                } else if exists {
-                    (ErrorKind::NoHome, NO_SERVER)
+                    (ErrorKind::NoCapacity, EVACUATED_RETRY_DELAY)
+                } else if any_known {
+                    (ErrorKind::NoHome, NO_SERVER_RETRY_DELAY)
                 } else {
-                    (ErrorKind::NoCapacity, NO_SERVER)
+                    (ErrorKind::NoCapacity, NO_SERVER_RETRY_DELAY)
                 }
             }
         };
         Some(Unavailability { kind, after })
     }
 
-    /// Gives the engines of a service that take something of this host now and at which a request with these homes may run, in
-    /// the order of their ids.
+    /// Returns the engines of a service that accept work from this host now and may run a request that is restricted
+    /// to `homes`, ordered by id.
     pub fn engines(&self, service: &str, profile: EngineProfile, homes: &Homes) -> Vec<Engine> {
         let now = clock::now();
         let own_domain = &self.settings.domain;
@@ -124,12 +124,12 @@
             ..
         } = &mut *state;
         let pauses = pauses.get(service).copied().unwrap_or_default();
-        let open = directory.of_service(service).filter(|server| {
-            let closed = closed_for(backoffs, limits, server.key(), now);
-            self.may_run_at(homes, server) && closed.is_zero()
+        let candidates = directory.of_service(service).filter(|server| {
+            let unavailable = unavailable_for(backoffs, limits, server.key(), now);
+            self.may_run_at(homes, server) && unavailable.is_zero()
         });
-        let shared = groups.share(&self.settings.host, open.collect(), LEAST_ENGINES);
-        let engines = shared.into_iter().map(|server| {
+        let candidates = groups.share(&self.settings.host, candidates.collect(), MIN_GROUP_ENGINES);
+        let engines = candidates.into_iter().map(|server| {
             let key = server.key();
             Engine {
                 id: key,
@@ -138,40 +138,45 @@
                 profile,
                 pauses,
                 same_domain: server.domain == *own_domain,
-                suspect: doubts(loads, health, own_domain, server, now),
+                suspect: is_suspect(loads, health, own_domain, server, now),
             }
         });
         engines.collect()
     }
 
-    /// Smooths the pressure on the engines: takes what it is now and gives its recent mean.
-    pub fn pressure(&self, now_is: f64) -> f64 {
-        /// The time over which the mean is taken, in seconds; about as long as a long prompt is read.
-        const OVER: f64 = 0.7;
+    /// Adds the current pressure on the engines to its moving average and returns the average.
+    pub fn pressure(&self, current: f64) -> f64 {
+        /// The time constant of the moving average, in seconds; about as long as a long prompt is read.
+        const PRESSURE_WINDOW_SECONDS: f64 = 0.7;
         let now = clock::now();
-        let Pressure { mean, at } = self.pressure.get();
-        let weight = 1.0 - (-now.since(at).as_secs_f64() / OVER).exp();
-        let mean = mean + weight * (now_is - mean);
-        self.pressure.set(Pressure { mean, at: now });
+        let Pressure { mean, updated } = self.pressure.get();
+        let weight = 1.0 - (-now.since(updated).as_secs_f64() / PRESSURE_WINDOW_SECONDS).exp();
+        let mean = mean + weight * (current - mean);
+        self.pressure.set(Pressure { mean, updated: now });
         mean
     }
 
-    /// Gives the recent mean of the pressure on the engines.
+    /// Returns the moving average of the pressure on the engines.
     pub fn recent_pressure(&self) -> f64 {
         self.pressure.get().mean
     }
 
-    /// Picks the plain backend server with the fewest own calls that hasn't been tried, among those that take something now.
+    /// Picks the cheapest plain backend server among those that accept work now: the one with the fewest calls of
+    /// this host that has not been tried.
     pub fn pick_server(&self, service: &str, homes: &Homes, tried: &[Key]) -> Option<Server> {
         let now = clock::now();
         let state = self.state.borrow();
         let mut rng = rand::rng();
-        let cost = |server: &Server, draw: f64| self.cost(&state, server, tried, now) + DRAW * draw;
+        let cost = |server: &Server, random: f64| {
+            self.cost(&state, server, tried, now) + MAX_RANDOM_COST * random
+        };
         let servers = state.directory.of_service(service);
         let servers = servers.filter(|server| self.may_run_at(homes, server));
-        let servers = servers.filter(|server| state.closed_for(server.key(), now).is_zero());
+        let servers = servers.filter(|server| state.unavailable_for(server.key(), now).is_zero());
         let own = &self.settings.host;
-        let servers = state.groups.share(own, servers.collect(), LEAST_SERVERS);
+        let servers = state
+            .groups
+            .share(own, servers.collect(), MIN_GROUP_SERVERS);
         let costs = servers
             .into_iter()
             .map(|server| (cost(server, rng.random::<f64>()), server));
@@ -179,17 +184,17 @@
         least.map(|(_, server)| server.clone())
     }
 
-    /// Gives what speaks against a plain backend server, in loads.
+    /// Returns the cost of a plain backend server, in loads.
     fn cost(&self, state: &State, server: &Server, tried: &[Key], now: Time) -> f64 {
         let domain = &self.settings.domain;
         let key = server.key();
         let calls = state.calls.get(&key).copied().unwrap_or(0);
         let busy = f64::from(calls) / f64::from(server.slots.max(1));
-        let far = FAR * one_if(server.domain != *domain);
-        let doubted = doubts(&state.loads, &state.health, domain, server, now);
-        let doubted = DOUBTED * one_if(doubted);
-        let tried = TRIED * one_if(tried.contains(&key));
-        busy + far + doubted + tried + state.health.failing(key)
+        let remote = REMOTE_DOMAIN_COST * one_if(server.domain != *domain);
+        let suspect = is_suspect(&state.loads, &state.health, domain, server, now);
+        let suspect = SUSPECT_COST * one_if(suspect);
+        let tried = TRIED_COST * one_if(tried.contains(&key));
+        busy + remote + suspect + tried + state.health.failing(key)
     }
 }
 
--- a/crates/alderglade-serve/src/node/reach.rs
+++ b/crates/alderglade-serve/src/node/connectivity.rs
@@ -1,4 +1,4 @@
-//! Whether the store is in this host's reach, looked at with each heartbeat.
+//! Whether this host can reach the store, checked at each heartbeat.
 
 use super::{Node, State};
 use crate::clock;
@@ -8,38 +8,38 @@
 use std::time::Duration;
 
 impl Node {
-    /// Looks whether the store is in reach, and has it asked at once where that is in doubt.
-    pub(super) fn look_for_store(&self) {
+    /// Checks the connectivity to the store, and triggers a query at once if it is in doubt.
+    pub(super) fn observe_store(&self) {
         let now = clock::now();
         let state = &mut *self.state.borrow_mut();
         let observation = self.observation(state, now);
-        let was_cut_off = state.connectivity.is_disconnected(now);
+        let was_disconnected = state.connectivity.is_disconnected(now);
         if state.connectivity.observe(&observation, now) {
             self.ask_store.notify_waiters();
         }
-        let cut_off = state.connectivity.is_disconnected(now);
-        if cut_off != was_cut_off {
-            tell_reach(cut_off, &observation, state.freshness.age(now));
+        let disconnected = state.connectivity.is_disconnected(now);
+        if disconnected != was_disconnected {
+            log_connectivity(disconnected, &observation, state.freshness.age(now));
         }
     }
 
-    /// Gives what this host sees of its way to the store.
+    /// Returns what this host observes of its connectivity to the store.
     fn observation(&self, state: &State, now: Time) -> Observation {
         let domain = &self.settings.domain;
-        let mut heard = state.loads.live_hosts(domain, now);
+        let mut live = state.loads.live_hosts(domain, now);
         Observation {
             call_failed: self.store.get().is_lost(),
-            informed: state.queries_store() || heard.any(|host| host.store.in_contact),
+            informed: state.queries_store() || live.any(|host| host.store.in_contact),
             isolated: state.loads.is_isolated(domain, now),
             confirmed: state.freshness.confirmed(),
         }
     }
 }
 
-/// Writes whether the host has lost or found its way to the store, and by what.
-fn tell_reach(cut_off: bool, observation: &Observation, age: Option<Duration>) {
+/// Logs that the host has lost or regained its connectivity to the store, with the observation that shows it.
+fn log_connectivity(disconnected: bool, observation: &Observation, age: Option<Duration>) {
     event::write(&Record::StoreReach {
-        cut_off,
+        cut_off: disconnected,
         refused: observation.call_failed,
         informed: observation.informed,
         isolated: observation.isolated,
--- a/crates/alderglade-serve/src/node/era.rs
+++ b/crates/alderglade-serve/src/node/era.rs
@@ -1,66 +1,68 @@
-//! The eras of the store: how often it has come back from a copy, as far as this host knows.
+//! The eras of the store: how often it was restored from a copy, as far as this host knows.
 //!
-//! Only the store's own answers say which era it is. What other hosts tell of a later one is a reason to ask the store.
+//! Only the store's own answers determine its era. A later era that other hosts report is a reason to query the
+//! store.
 
 use super::Node;
 use crate::event::{self, Record};
 use std::cell::Cell;
 use tokio::sync::Notify;
 
-/// What is known of the eras.
+/// The latest eras known.
 #[derive(Debug, Default)]
 pub(super) struct Eras {
-    /// The latest one that the store has told; `0` where it has told none.
+    /// The latest era that the store has reported; `0` if it has reported none.
     known: Cell<u64>,
-    /// The latest one that other hosts have told.
-    heard: Cell<u64>,
-    /// Wakes whoever waits for a later one.
-    later: Notify,
+    /// The latest era that other hosts have reported.
+    from_peers: Cell<u64>,
+    /// Wakes the tasks that wait for a later era.
+    advanced: Notify,
 }
 
 impl Node {
-    /// Gives the store's latest era known; `0` where the store tells none.
+    /// Returns the latest era that the store has reported; `0` if it has reported none.
     pub fn era(&self) -> u64 {
         self.eras.known.get()
     }
 
-    /// Takes the era of an answer of the store. Gives the latest one, which is later than that of an answer that was late.
-    pub fn record_era(&self, told: u64) -> u64 {
+    /// Records the era of an answer of the store. Returns the latest era, which is later than that of a delayed
+    /// answer.
+    pub fn record_era(&self, era: u64) -> u64 {
         let known = self.eras.known.get();
-        if told <= known {
+        if era <= known {
             return known;
         }
-        self.eras.known.set(told);
-        self.metrics.store_era.set(told.cast_signed());
+        self.eras.known.set(era);
+        self.metrics.store_era.set(era.cast_signed());
         if known > 0 {
             event::write(&Record::StoreRestored {
-                era: told,
+                era,
                 former_era: known,
             });
-            // Calls from before may hang, and all is to be listed anew.
+            // Calls from before may hang, and everything has to be listed again.
             self.ask_store.notify_waiters();
         }
-        self.eras.later.notify_waiters();
-        told
+        self.eras.advanced.notify_waiters();
+        era
     }
 
-    /// Takes the era that another host tells.
-    pub(super) fn observe_era(&self, told: u64) {
-        if told > self.eras.heard.get() {
-            self.eras.heard.set(told);
-            self.eras.later.notify_waiters();
+    /// Records the era that another host reports.
+    pub(super) fn observe_era(&self, era: u64) {
+        if era > self.eras.from_peers.get() {
+            self.eras.from_peers.set(era);
+            self.eras.advanced.notify_waiters();
         }
     }
 
-    /// Waits until the store, or another host, tells of a later era; gives that.
+    /// Waits until the store or another host reports a later era, and returns it.
     pub async fn wait_for_era_after(&self, era: u64) -> u64 {
         loop {
-            let later = self.eras.later.notified();
-            let latest = self.eras.known.get().max(self.eras.heard.get());
+            let advanced = self.eras.advanced.notified();
+            let latest = self.eras.known.get().max(self.eras.from_peers.get());
             if latest > era {
                 return latest;
             }
-            later.await;
+            advanced.await;
         }
     }
 }
--- a/crates/alderglade-serve/src/node/evacuation.rs
+++ b/crates/alderglade-serve/src/node/evacuation.rs
@@ -1,4 +1,4 @@
-//! Failure domains that the operator evacuates and takes back.
+//! Failure domains that the operator evacuates and reopens.
 
 use super::{Node, State};
 use crate::clock;
@@ -10,43 +10,43 @@
 use std::collections::BTreeSet;
 
 impl Node {
-    /// Says whether this host knows which failure domains are evacuated, or the deployment has no evacuations.
+    /// Returns whether this host knows which failure domains are evacuated, or the deployment has no evacuations.
     pub(super) fn knows_evacuations(&self, state: &State) -> bool {
         self.settings.evacuation.is_none() || state.evacuations.is_known()
     }
 
-    /// Takes all failure domains that the store lists as evacuated.
-    pub(super) fn take_evacuations(&self, domains: BTreeSet<Name>, position: Position) {
-        self.edit_evacuations(|evacuations, now| evacuations.replace(domains, position, now));
-        self.learnt.notify_waiters();
+    /// Replaces all evacuations by those that the store lists.
+    pub(super) fn replace_evacuations(&self, domains: BTreeSet<Name>, position: Position) {
+        self.update_evacuations(|evacuations, now| evacuations.replace(domains, position, now));
+        self.startup_progress.notify_waiters();
     }
 
-    /// Takes what has changed in the store.
-    pub(super) fn change_evacuations(&self, changes: &[Change], position: Position) {
-        self.edit_evacuations(|evacuations, _| evacuations.apply_changes(changes, position));
+    /// Applies changes from the store.
+    pub(super) fn apply_evacuation_changes(&self, changes: &[Change], position: Position) {
+        self.update_evacuations(|evacuations, _| evacuations.apply_changes(changes, position));
     }
 
-    /// Takes what another host knows.
+    /// Applies another host's evacuations.
     pub fn apply_evacuations(&self, snapshot: &Snapshot) {
-        self.edit_evacuations(|evacuations, now| evacuations.apply_snapshot(snapshot, now));
+        self.update_evacuations(|evacuations, now| evacuations.apply_snapshot(snapshot, now));
     }
 
-    fn edit_evacuations(&self, edit: impl FnOnce(&mut Evacuations, Time) -> bool) {
-        let changed = edit(&mut self.state.borrow_mut().evacuations, clock::now());
+    fn update_evacuations(&self, update: impl FnOnce(&mut Evacuations, Time) -> bool) {
+        let changed = update(&mut self.state.borrow_mut().evacuations, clock::now());
         if changed {
-            self.put_evacuations_in_force();
+            self.enforce_evacuations();
         }
     }
 
-    /// Has new work go by the evacuations as they are known now, and other hosts told.
-    pub(super) fn put_evacuations_in_force(&self) {
+    /// Applies the known evacuations to the choice of servers, and triggers a notice to the peers.
+    pub(super) fn enforce_evacuations(&self) {
         let mut state = self.state.borrow_mut();
         let domains = state.evacuations.in_force();
         let before = state.directory.evacuate(domains.clone());
-        state.note_engines();
+        state.update_engines();
         drop(state);
         for domain in before.difference(&domains) {
-            self.note_cold_domain(domain);
+            self.record_cold_domain(domain);
         }
         event::write(&Record::Evacuated { domains: &domains });
         self.loads_changed.notify_one();
--- a/crates/alderglade-serve/src/node/groups.rs
+++ b/crates/alderglade-serve/src/node/groups.rs
@@ -1,4 +1,4 @@
-//! The groups of hosts and servers, and which of them this host shares.
+//! The groups of hosts and servers, and the group of this host.
 
 use super::{Node, State};
 use crate::clock;
@@ -11,27 +11,27 @@
 use alderglade_core::time::Time;
 
 impl Node {
-    /// Divides the hosts into groups anew, by how many there are as far as is known.
+    /// Divides the hosts into groups by their number, as far as it is known.
     pub(super) fn regroup(&self) {
         let mut state = self.state.borrow_mut();
-        state.hear_listed(&self.settings.domain, clock::now());
+        state.update_reported_hosts(&self.settings.domain, clock::now());
         let changed = state.regroup();
         drop(state);
         if changed {
-            self.tell_groups();
+            self.log_groups();
         }
     }
 
-    /// Lists the servers of the own group that are leaving.
-    pub fn shared_leavers(&self, state: &State) -> Vec<Key> {
+    /// Returns the leaving servers of the own group.
+    pub fn leaving_group_servers(&self, state: &State) -> Vec<Key> {
         let own = &self.settings.host;
         let mut leaving = state.directory.leaving();
         leaving.retain(|server| state.groups.has_server(own, *server));
         leaving
     }
 
-    /// Writes into how many groups the hosts are divided now, and how much of the fleet this one shares.
-    fn tell_groups(&self) {
+    /// Logs the number of groups and how much of the fleet belongs to this host's group.
+    fn log_groups(&self) {
         let state = self.state.borrow();
         let own = &self.settings.host;
         let hosts = state.hosts.names();
@@ -47,41 +47,43 @@
 }
 
 impl State {
-    /// Divides the hosts into groups by the number of them that the store lists, as all see it; says whether that changes the
-    /// groups.
+    /// Divides the hosts into groups by the number of hosts that the store lists, which is the same for all hosts.
+    /// Returns whether the groups have changed.
     fn regroup(&mut self) -> bool {
-        let told = self.told_hosts.filter(|_| !self.watches_store());
-        let hosts = told.unwrap_or(self.hosts.len());
+        let reported = self.reported_hosts.filter(|_| !self.watches_store());
+        let hosts = reported.unwrap_or(self.hosts.len());
         let changed = self.groups.set_division(Division::of_hosts(hosts));
         if changed {
-            self.note_engines();
+            self.update_engines();
         }
         changed
     }
 
-    /// Gives the most hosts that this one knows of: heard, listed, or told by hosts that watch the store.
-    pub(super) fn known_hosts(&self) -> usize {
+    /// Returns the largest number of hosts that this one knows of: live, listed, or reported by hosts that watch the
+    /// store.
+    pub(super) fn known_host_count(&self) -> usize {
         let known = self.loads.host_count().max(self.hosts.len());
-        self.told_hosts.map_or(known, |told| known.max(told))
+        self.reported_hosts
+            .map_or(known, |reported| known.max(reported))
     }
 
-    /// Takes the number of hosts that the store lists, by those of a failure domain that watch it. What they said last counts
-    /// while none of them is heard.
-    fn hear_listed(&mut self, domain: &Name, now: Time) {
-        let heard = self.loads.live_hosts(domain, now);
-        let watchers = heard.filter(|host| host.same_domain && host.store.in_contact);
-        let told = watchers.map(|host| host.store.hosts as usize).max();
-        self.told_hosts = told.or(self.told_hosts);
+    /// Updates the number of hosts that the store lists, as reported by the watchers of a failure domain. The last
+    /// report stays valid while none of the watchers is live.
+    fn update_reported_hosts(&mut self, domain: &Name, now: Time) {
+        let live = self.loads.live_hosts(domain, now);
+        let watchers = live.filter(|host| host.same_domain && host.store.in_contact);
+        let reported = watchers.map(|host| host.store.hosts as usize).max();
+        self.reported_hosts = reported.or(self.reported_hosts);
     }
 
-    /// Lists the hosts of a host's group that it hears of, where `domain` is its failure domain.
-    pub(super) fn heard_in_group<'a>(
+    /// Returns the live hosts of a host's group, where `domain` is its failure domain.
+    pub(super) fn live_group_hosts<'a>(
         &'a self,
         host: &'a Name,
         domain: &'a Name,
         now: Time,
     ) -> impl Iterator<Item = Neighbour<'a>> + Clone {
-        let heard = self.loads.live_hosts(domain, now);
-        heard.filter(move |other| self.groups.same_group(host, other.name))
+        let live = self.loads.live_hosts(domain, now);
+        live.filter(move |other| self.groups.same_group(host, other.name))
     }
 }
--- a/crates/alderglade-serve/src/node/guard.rs
+++ b/crates/alderglade-serve/src/node/guard.rs
@@ -1,5 +1,5 @@
-//! Guards that note what a request takes, and give it back when they are dropped: on every path, also
-//! when the caller leaves and its task is dropped.
+//! Guards that record what a request uses and release it on drop: on every path, also when the caller disconnects and
+//! its task is dropped.
 
 use super::{Node, Progress};
 use crate::clock;
@@ -7,43 +7,43 @@
 use alderglade_core::fleet::load_table::{Demand, QueuedId, Reservation, ReservationId};
 use std::rc::Rc;
 
-/// Counts a request in hand.
+/// Counts a request in flight.
 pub struct InFlight {
     pub(super) node: Rc<Node>,
     pub(super) number: u64,
-    /// How far the request has come.
+    /// The progress of the request.
     pub progress: Rc<Progress>,
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.node.in_hand.remove(self.number);
+        self.node.requests_in_flight.remove(self.number);
         self.node.metrics.in_flight.dec();
     }
 }
 
 /// Counts an open connection of a caller.
-pub struct Connected {
+pub struct ConnectionGuard {
     pub(super) node: Rc<Node>,
 }
 
-impl Drop for Connected {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.node.connections.set(self.node.connections.get() - 1);
         self.node.metrics.caller_connections.dec();
     }
 }
 
-/// Keeps a placement in the book.
+/// Keeps a reservation in the load table.
 pub struct ReservationGuard {
     node: Rc<Node>,
     id: ReservationId,
-    /// The placement while it is set aside.
+    /// The reservation while it is suspended.
     suspended: Option<Reservation>,
 }
 
 impl ReservationGuard {
-    /// Keeps a placement that was noted in the book.
+    /// Guards a reservation that was added to the load table.
     pub(super) fn new(node: Rc<Node>, id: ReservationId) -> ReservationGuard {
         ReservationGuard {
             node,
@@ -52,16 +52,17 @@
         }
     }
 
-    /// Takes the placement out of the book for now, so that it doesn't stand in the way of the one that is to replace it.
+    /// Removes the reservation from the load table for now, so that it doesn't count against the one that is to
+    /// replace it.
     pub fn suspend(&mut self) {
         if self.suspended.is_none() {
             self.suspended = self.release();
         }
     }
 
-    /// Puts the placement back into the book, if it was set aside.
+    /// Adds the reservation to the load table again, if it was suspended.
     pub fn resume(&mut self) {
-        let Some(hold) = self.suspended.take() else {
+        let Some(reservation) = self.suspended.take() else {
             return;
         };
         self.id = self
@@ -69,24 +70,24 @@
             .state
             .borrow_mut()
             .loads
-            .reserve(hold, clock::now());
+            .reserve(reservation, clock::now());
         self.node.loads_changed.notify_one();
     }
 
     fn release(&self) -> Option<Reservation> {
         let mut state = self.node.state.borrow_mut();
-        let hold = state.loads.release(self.id, clock::now());
+        let reservation = state.loads.release(self.id, clock::now());
         drop(state);
         self.node.loads_changed.notify_one();
-        hold
+        reservation
     }
 
-    /// Notes that the prompt has been read.
+    /// Records that the prompt has been read.
     pub fn mark_read(&mut self) {
         let mut state = self.node.state.borrow_mut();
-        let tell = state.loads.mark_read(self.id, clock::now());
+        let changed = state.loads.mark_read(self.id, clock::now());
         drop(state);
-        if tell {
+        if changed {
             self.node.loads_changed.notify_one();
         }
     }
@@ -100,16 +101,16 @@
     }
 }
 
-/// Keeps a prompt in the line of those that wait.
+/// Keeps a prompt in the wait queue.
 pub struct QueueGuard {
     node: Rc<Node>,
     id: QueuedId,
-    /// Whether peers know of it.
+    /// Whether peers know of the prompt.
     announced: bool,
 }
 
 impl QueueGuard {
-    /// Keeps a prompt that was taken into the line; peers are told only if it has to wait.
+    /// Guards a prompt that was added to the wait queue. Peers are informed only if it has to wait.
     pub(super) fn new(node: Rc<Node>, id: QueuedId) -> QueueGuard {
         QueueGuard {
             node,
@@ -118,13 +119,13 @@
         }
     }
 
-    /// Takes what the prompt needs as it stands now; gives how many prompts go before it.
+    /// Updates the prompt's current demand. Returns the number of prompts ahead of it.
     pub fn update(&self, demand: Demand) -> u32 {
         let mut state = self.node.state.borrow_mut();
         state.loads.update_queued(self.id, demand, clock::now())
     }
 
-    /// Has peers told that the prompt waits, the first time.
+    /// Informs peers that the prompt waits, on the first call.
     pub fn announce(&mut self) {
         if !std::mem::replace(&mut self.announced, true) {
             self.node.loads_changed.notify_one();
--- a/crates/alderglade-serve/src/node/hosts.rs
+++ b/crates/alderglade-serve/src/node/hosts.rs
@@ -1,4 +1,4 @@
-//! The entry hosts' addresses, from the store and from what hosts send.
+//! The entry hosts' addresses, from the store and from messages of the hosts.
 //!
 //! The store lists this host too, so its own address may be among them.
 
@@ -7,80 +7,80 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// All entry hosts that are known, with this one where the store has listed it.
+/// All known entry hosts, including this one if the store has listed it.
 #[derive(Debug, Default)]
 pub struct Hosts {
-    by_name: HashMap<Name, Place>,
+    by_name: HashMap<Name, Location>,
 }
 
-/// Where a host is.
+/// A host's address and failure domain.
 #[derive(Debug)]
-struct Place {
+struct Location {
     address: SocketAddr,
     domain: Option<Name>,
 }
 
 impl Hosts {
-    /// Takes a host, or its new address.
+    /// Adds a host or replaces its address.
     pub fn insert(&mut self, host: Host) {
         let Host {
             name,
             address,
             domain,
         } = host;
-        self.by_name.insert(name, Place { address, domain });
+        self.by_name.insert(name, Location { address, domain });
     }
 
-    /// Takes a host, unless it is known: what it has sent itself is newer.
-    pub fn insert_new(&mut self, host: Host) {
+    /// Adds a host unless it is known: an address that the host itself has sent is newer.
+    pub fn insert_if_absent(&mut self, host: Host) {
         if !self.by_name.contains_key(&host.name) {
             self.insert(host);
         }
     }
 
-    /// Drops a host.
+    /// Removes a host.
     pub fn remove(&mut self, name: &str) {
         self.by_name.remove(name);
     }
 
-    /// Gives a host's address.
+    /// Returns a host's address.
     pub fn get(&self, name: &str) -> Option<SocketAddr> {
-        self.by_name.get(name).map(|place| place.address)
+        self.by_name.get(name).map(|location| location.address)
     }
 
-    /// Gives the addresses of all hosts but some.
-    pub fn addresses_but(&self, left_out: impl Fn(&Name) -> bool) -> Vec<SocketAddr> {
-        let others = self.by_name.iter().filter(|(name, _)| !left_out(name));
-        others.map(|(_, place)| place.address).collect()
+    /// Returns the addresses of all hosts except those that `is_excluded` selects.
+    pub fn addresses_except(&self, is_excluded: impl Fn(&Name) -> bool) -> Vec<SocketAddr> {
+        let others = self.by_name.iter().filter(|(name, _)| !is_excluded(name));
+        others.map(|(_, location)| location.address).collect()
     }
 
-    /// Lists the hosts whose failure domain is known, with that.
-    pub fn placed(&self) -> impl Iterator<Item = (&Name, &Name)> {
+    /// Returns the names and failure domains of the hosts whose domain is known.
+    pub fn domains(&self) -> impl Iterator<Item = (&Name, &Name)> {
         let hosts = self.by_name.iter();
-        hosts.filter_map(|(name, place)| Some((name, place.domain.as_ref()?)))
+        hosts.filter_map(|(name, location)| Some((name, location.domain.as_ref()?)))
     }
 
-    /// Gives all.
+    /// Returns all hosts.
     pub fn all(&self) -> Vec<Host> {
-        let host = |(name, place): (&Name, &Place)| Host {
+        let host = |(name, location): (&Name, &Location)| Host {
             name: name.clone(),
-            address: place.address,
-            domain: place.domain.clone(),
+            address: location.address,
+            domain: location.domain.clone(),
         };
         self.by_name.iter().map(host).collect()
     }
 
-    /// Lists the names of all.
+    /// Returns the names of all hosts.
     pub fn names(&self) -> impl Iterator<Item = &Name> {
         self.by_name.keys()
     }
 
-    /// Gives how many are known.
+    /// Returns the number of hosts.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Says whether none is known.
+    /// Returns whether no host is known.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
--- a/crates/alderglade-serve/src/node/outbox.rs
+++ b/crates/alderglade-serve/src/node/outbox.rs
@@ -1,7 +1,7 @@
-//! What has changed in the store, as the hosts of a failure domain pass it on to each other.
+//! Changes in the store, as the hosts of a failure domain forward them to each other.
 //!
-//! Those that watch the store put changes into their outbox; the others take them, and ask the store only where
-//! something is missing.
+//! The hosts that watch the store put changes into their outbox. The other hosts apply them and query the store only
+//! if something is missing.
 
 use super::{Node, StoreEvent};
 use crate::clock;
@@ -15,65 +15,72 @@
 use alderglade_core::fleet::reassembly;
 use std::net::SocketAddr;
 
-/// The largest message that is passed on, in bytes; below the usual size of a packet. Where more has changed, hosts ask
-/// the store.
-const LARGEST: usize = 1_200;
+/// Maximum length of an update, in bytes; below the usual size of a packet. If more has changed, hosts query the
+/// store.
+const MAX_UPDATE_BYTES: usize = 1_200;
 
-/// What a piece of changes takes beside them, in bytes.
-const AROUND: usize = 100;
+/// What a fragment takes in addition to its changes, in bytes.
+const FRAGMENT_OVERHEAD_BYTES: usize = 100;
 
-/// By which ways notices go to the other hosts of the own group.
+/// The recipients of notices within the own group.
 pub struct Recipients {
-    /// Hosts that are told directly.
+    /// Hosts that receive notices directly.
     pub direct: Vec<SocketAddr>,
-    /// Hosts that pass notices on in their failure domain.
-    pub through: Vec<SocketAddr>,
+    /// Hosts that forward notices within their failure domain.
+    pub forwarders: Vec<SocketAddr>,
 }
 
 /// A message for one host.
 pub struct Envelope {
-    /// Where that is.
+    /// The host's address.
     pub to: SocketAddr,
-    /// What is sent.
+    /// The content.
     pub message: Message,
 }
 
 impl Node {
-    /// Has a message sent to one host.
+    /// Queues a message for one host.
     pub(super) fn queue_envelope(&self, envelope: Envelope) {
         self.envelopes.borrow_mut().push(envelope);
         self.envelopes_queued.notify_one();
     }
 
-    /// Gives the messages for single hosts that have not been sent yet.
+    /// Returns and clears the queued messages for single hosts.
     pub fn take_envelopes(&self) -> Vec<Envelope> {
         std::mem::take(&mut *self.envelopes.borrow_mut())
     }
 
-    /// Has what differs between two configurations passed on to the hosts of the own domain, if this host
-    /// watches and it is little.
-    pub(super) fn tell_config(&self, old: &Config, new: &Config) {
+    /// Queues the difference between two configurations for the hosts of the own domain, if this host watches the
+    /// store and the difference is small.
+    pub(super) fn publish_config_patch(&self, old: &Config, new: &Config) {
         if !self.state.borrow().watches_store() {
             return;
         }
         let Some(patch) = Patch::between(old, new) else {
             return;
         };
-        self.pass_on(StoreUpdate::Config(patch));
+        self.queue_update(StoreUpdate::Config(patch));
     }
 
-    /// Puts what was learnt into the outbox, if it fits a packet.
-    fn pass_on(&self, update: StoreUpdate) {
+    /// Adds an update to the outbox if it fits into a packet.
+    fn queue_update(&self, update: StoreUpdate) {
         let length = postcard::to_stdvec(&update).map(|bytes| bytes.len());
         match length {
-            Ok(length) if length <= LARGEST => self.state.borrow_mut().outbox.push(update),
-            Ok(length) => log::debug!("{length} bytes have changed; hosts ask the store"),
-            Err(error) => log::warn!("a change can't be written: {error}"),
+            Ok(length) if length <= MAX_UPDATE_BYTES => self.state.borrow_mut().outbox.push(update),
+            Ok(length) => log::debug!(
+                "not forwarding an update of {length} bytes: it exceeds the packet size; hosts query the store instead"
+            ),
+            Err(error) => log::warn!("cannot encode an update: {error}"),
         }
     }
 
-    /// Has changes of backend servers passed on to the hosts of the own domain, if this host watches.
-    pub(super) fn tell_changes(&self, after: Position, position: Position, changes: &[Change]) {
+    /// Queues changes of backend servers for the hosts of the own domain, if this host watches the store.
+    pub(super) fn publish_server_changes(
+        &self,
+        after: Position,
+        position: Position,
+        changes: &[Change],
+    ) {
         let grace_ms = {
             let state = self.state.borrow();
             if changes.is_empty() || !state.watches_store() {
@@ -81,7 +88,7 @@
             }
             state.grace_ms(clock::now())
         };
-        let whole = Servers {
+        let update = Servers {
             after,
             position,
             grace_ms,
@@ -89,52 +96,55 @@
             changes: changes.to_vec(),
         };
         let size = |change: &Change| postcard::to_stdvec(change).map_or(usize::MAX, |b| b.len());
-        for fragment in reassembly::split(&whole, LARGEST - AROUND, size) {
-            self.pass_on(StoreUpdate::Servers(fragment));
+        for fragment in reassembly::split(&update, MAX_UPDATE_BYTES - FRAGMENT_OVERHEAD_BYTES, size)
+        {
+            self.queue_update(StoreUpdate::Servers(fragment));
         }
     }
 
-    /// Has a host passed on to the hosts of the own domain, if this one watches: of many that start together, the first find
-    /// few others in the store's list.
-    pub(super) fn tell_host(&self, host: &Host) {
+    /// Queues a host's address for the hosts of the own domain, if this host watches the store. When many hosts start
+    /// together, the first ones find few others in the store's list.
+    pub(super) fn publish_host(&self, host: &Host) {
         let mut state = self.state.borrow_mut();
         if state.watches_store() {
-            state.new_hosts.push(host.clone());
+            state.unpublished_hosts.push(host.clone());
             self.loads_changed.notify_one();
         }
     }
 
-    /// Gives what the hosts of the own failure domain have not been told yet.
+    /// Returns and clears the updates that were not sent yet to the hosts of the own failure domain.
     pub fn take_outbox(&self) -> Vec<StoreUpdate> {
-        /// Hosts in one message, some 40 bytes each.
-        const EACH: usize = 24;
-        let new_hosts = std::mem::take(&mut self.state.borrow_mut().new_hosts);
-        for some in new_hosts.chunks(EACH) {
-            self.pass_on(StoreUpdate::Hosts(some.to_vec()));
+        /// Hosts in one update, some 40 bytes each.
+        const HOSTS_PER_UPDATE: usize = 24;
+        let unpublished_hosts = std::mem::take(&mut self.state.borrow_mut().unpublished_hosts);
+        for chunk in unpublished_hosts.chunks(HOSTS_PER_UPDATE) {
+            self.queue_update(StoreUpdate::Hosts(chunk.to_vec()));
         }
         std::mem::take(&mut self.state.borrow_mut().outbox)
     }
 
-    /// Gives the ways by which notices go to the other hosts of the own group, after so many heartbeats.
+    /// Returns the recipients of notices within the own group at heartbeat number `beat`.
     pub fn recipients(&self, beat: u64) -> Recipients {
         let now = clock::now();
         let own = &self.settings.host;
         let state = self.state.borrow();
-        let heard = state.heard_in_group(own, &self.settings.domain, now);
-        let fanout = fanout::fanout(own, beat, heard);
-        let left_out = |name: &Name| {
-            let elsewhere = !state.groups.same_group(own, name);
-            name == own || elsewhere || fanout.covered.contains(name)
+        let live = state.live_group_hosts(own, &self.settings.domain, now);
+        let fanout = fanout::fanout(own, beat, live);
+        let is_excluded = |name: &Name| {
+            let other_group = !state.groups.same_group(own, name);
+            name == own || other_group || fanout.covered.contains(name)
         };
-        let through = fanout.forwarders.iter();
+        let forwarders = fanout.forwarders.iter();
         Recipients {
-            direct: state.hosts.addresses_but(left_out),
-            through: through.filter_map(|name| state.hosts.get(name)).collect(),
+            direct: state.hosts.addresses_except(is_excluded),
+            forwarders: forwarders
+                .filter_map(|name| state.hosts.get(name))
+                .collect(),
         }
     }
 
-    /// Gives what hosts of other groups are told of a notice, with those of them that pass it on, after so many heartbeats; `None`
-    /// where it concerns none of them.
+    /// Returns the part of a notice that concerns hosts of other groups, and the gateways that forward it to them at
+    /// heartbeat number `beat`; `None` if it concerns none of them.
     pub fn notice_for_others(
         &self,
         notice: &Notice,
@@ -146,7 +156,7 @@
         (!gateways.is_empty()).then(|| (notice.for_other_groups(&state.groups), gateways))
     }
 
-    /// Gives the hosts of other groups that pass on in the own failure domain what the store has told.
+    /// Returns the hosts of other groups that forward store updates within the own failure domain.
     pub fn domain_gateways(&self, beat: u64) -> Vec<SocketAddr> {
         let scope = Scope {
             domain: true,
@@ -165,40 +175,42 @@
             domain: &self.settings.domain,
             division: state.groups.division(),
         };
-        let gateways = scope.gateways(&sender, beat, state.hosts.placed());
+        let gateways = scope.gateways(&sender, beat, state.hosts.domains());
         let addresses = gateways
             .into_iter()
             .filter_map(|name| state.hosts.get(name));
         addresses.collect()
     }
 
-    /// Gives the addresses of the hosts of the own group and failure domain that were heard of lately.
+    /// Returns the addresses of the live hosts of the own group and failure domain.
     pub fn same_domain_hosts(&self) -> Vec<SocketAddr> {
         let now = clock::now();
         let state = self.state.borrow();
-        let heard = state.heard_in_group(&self.settings.host, &self.settings.domain, now);
-        let near = heard.filter(|host| host.same_domain);
-        near.filter_map(|host| state.hosts.get(host.name)).collect()
+        let live = state.live_group_hosts(&self.settings.host, &self.settings.domain, now);
+        let same_domain = live.filter(|host| host.same_domain);
+        same_domain
+            .filter_map(|host| state.hosts.get(host.name))
+            .collect()
     }
 
-    /// Takes what a peer has learnt that watches the store.
+    /// Applies an update of a peer that watches the store.
     pub fn apply_store_update(&self, update: &StoreUpdate) {
         match update {
-            StoreUpdate::Servers(servers) => self.take_servers(servers),
-            StoreUpdate::Config(patch) => self.take_patch(patch),
+            StoreUpdate::Servers(servers) => self.apply_server_update(servers),
+            StoreUpdate::Config(patch) => self.apply_config_patch(patch),
             StoreUpdate::Hosts(hosts) => {
                 let known = &mut self.state.borrow_mut().hosts;
                 hosts
                     .iter()
                     .cloned()
-                    .for_each(|host| known.insert_new(host));
+                    .for_each(|host| known.insert_if_absent(host));
             }
         }
     }
 
-    /// Takes changes of backend servers from a peer that watches the store, unless some before them are
-    /// missing here; the store is asked for these.
-    fn take_servers(&self, servers: &Servers) {
+    /// Applies changes of backend servers from a peer that watches the store. If earlier changes are missing here,
+    /// the changes are ignored and the store is queried.
+    fn apply_server_update(&self, servers: &Servers) {
         let mut state = self.state.borrow_mut();
         let Servers {
             after, position, ..
@@ -206,7 +218,7 @@
         if !state.directory.needs_changes(after, position) {
             return;
         }
-        state.take_grace(servers.grace_ms);
+        state.apply_grace(servers.grace_ms);
         let Some(changes) = state.reassembly.take(servers) else {
             return;
         };
@@ -215,15 +227,15 @@
             .directory
             .apply_changes(after, &changes, position, now);
         drop(state);
-        self.tell_servers();
+        self.on_servers_changed();
         self.loads_changed.notify_one();
     }
 
-    /// Takes a newer configuration from a peer that watches the store. One that applies to another version
-    /// is passed over; the store is asked for the newest.
-    fn take_patch(&self, patch: &Patch) {
-        let known = self.state.borrow().config.clone();
-        if let Some(config) = known.and_then(|config| config.patched(patch)) {
+    /// Applies a newer configuration from a peer that watches the store. A patch for another version is ignored, and
+    /// the store is queried for the newest version.
+    fn apply_config_patch(&self, patch: &Patch) {
+        let current = self.state.borrow().config.clone();
+        if let Some(config) = current.and_then(|config| config.patched(patch)) {
             self.apply_store_event(StoreEvent::Config(config));
         }
     }
--- a/crates/alderglade-serve/src/node/permit.rs
+++ b/crates/alderglade-serve/src/node/permit.rs
@@ -1,7 +1,8 @@
-//! Leave to send something to a server: whether it takes requests now, and whether this one is within its limit.
+//! Permits to send a request to a server: whether the server accepts requests now, and whether this request is within
+//! its rate limit.
 //!
-//! Nothing is sent without a [`Permit`], so that what a server has said of itself binds each way to it: a first send, a
-//! repeat, a stream that goes on elsewhere, a part of a long prompt.
+//! Nothing is sent without a [`Permit`], so that what a server has said about itself applies to every path to it: a
+//! first send, a retry, a stream that is resumed elsewhere, a part of a long prompt.
 
 use super::{Envelope, Node};
 use crate::clock;
@@ -14,98 +15,99 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How long the owner of a limit may take to answer: some times the way there and back between failure domains, for a busy
-/// host.
-const ANSWER: Duration = Duration::from_millis(50);
-/// How long a host asks no more for a grant after the owner gave no answer: about until it is known to be gone.
-const NO_ANSWER: Duration = Duration::from_millis(300);
+/// How long the owner of a limit may take to answer: several round trips between failure domains, for a busy host.
+const GRANT_TIMEOUT: Duration = Duration::from_millis(50);
+/// How long a host stops requesting grants after the owner gave no answer: about the time until the owner is known to
+/// be gone.
+const UNANSWERED_DELAY: Duration = Duration::from_millis(300);
 
-/// Leave to send one request to a server.
+/// Permission to send one request to a server.
 #[derive(Debug)]
 pub struct Permit {
     server: Key,
-    /// Whether the server had a limit, and this request is within it.
+    /// Whether the server had a limit and this request is within it.
     granted: bool,
 }
 
-/// A server takes no request of this host now.
+/// The server accepts no request from this host now.
 #[derive(Debug)]
 pub struct NotPermitted;
 
-/// What was asked for one request to a server.
-struct Claim {
+/// A permit that may still wait for a grant.
+struct PendingPermit {
     server: Key,
-    /// The question to an owner; `None` where there is no bound on what the server takes.
-    question: Option<Question>,
+    /// The grant that was requested; `None` if the server's rate is unlimited.
+    pending_grant: Option<PendingGrant>,
 }
 
-/// A question to the owner of the bound on what a server takes.
-struct Question {
+/// A grant that was requested from the owner of a server's limit.
+struct PendingGrant {
     owner: Name,
-    /// Where its answer comes.
+    /// Receives the owner's answer.
     answer: oneshot::Receiver<Grant>,
 }
 
-/// Questions for grants that are not answered yet, by their numbers.
+/// Grant requests that have no answer yet, by number.
 #[derive(Debug, Default)]
-pub(super) struct Claims {
+pub(super) struct OpenGrantRequests {
     open: HashMap<u64, oneshot::Sender<Grant>>,
 }
 
-impl Claims {
-    /// Opens a question with a number that no other one has; gives where the answer comes.
-    fn open(&mut self, number: u64) -> oneshot::Receiver<Grant> {
+impl OpenGrantRequests {
+    /// Registers a request under a number that no other request has. Returns the receiver of its answer.
+    fn register(&mut self, number: u64) -> oneshot::Receiver<Grant> {
         self.open.retain(|_, answer| !answer.is_closed());
         let (sender, receiver) = oneshot::channel();
         self.open.insert(number, sender);
         receiver
     }
 
-    fn answer(&mut self, grant: Grant) {
+    fn deliver(&mut self, grant: Grant) {
         let answer = self.open.remove(&grant.number);
         if answer.is_none_or(|answer| answer.send(grant).is_err()) {
-            log::debug!("a grant came too late");
+            log::debug!("ignored a grant that arrived after its timeout");
         }
     }
 }
 
 impl Node {
-    /// Gives leave to send one request to a server. Where there is a bound on what the server takes, that takes a way to the
-    /// bound's owner and back.
+    /// Acquires a permit to send one request to a server. If the server's rate is limited, this takes a round trip to
+    /// the owner of the limit.
     ///
     /// # Errors
     ///
-    /// Where the server takes none now; it is not among those to choose from until it does.
+    /// Returns an error if the server accepts no request now. The server is then no candidate until it does.
     pub async fn permit(&self, server: Key) -> Result<Permit, NotPermitted> {
-        let claim = self.claim(server)?;
-        self.settle(claim).await
+        let pending = self.request_permit(server)?;
+        self.complete_permit(pending).await
     }
 
-    /// Waits for the answer to a claim; asks others where an owner of another group, of whose hosts nothing is heard, gives none.
+    /// Waits for the grant of a permit. If the owner is in another group and gives no answer, asks the next owner: a
+    /// host receives no notices from the hosts of other groups, so it can't know which of them are gone.
     ///
     /// # Errors
     ///
-    /// Where none grants it now.
-    async fn settle(&self, mut claim: Claim) -> Result<Permit, NotPermitted> {
-        /// Owners that are asked, one after the other.
-        const OWNERS: usize = 3;
-        let server = claim.server;
-        let mut wait = NO_ANSWER;
-        for others in (0..OWNERS).rev() {
-            let Some(Question { owner, answer }) = claim.question else {
+    /// Returns an error if no owner grants the request now.
+    async fn complete_permit(&self, mut pending: PendingPermit) -> Result<Permit, NotPermitted> {
+        /// Maximum number of owners that are asked, one after the other.
+        const MAX_OWNERS: usize = 3;
+        let server = pending.server;
+        let mut wait = UNANSWERED_DELAY;
+        for owners_left in (0..MAX_OWNERS).rev() {
+            let Some(PendingGrant { owner, answer }) = pending.pending_grant else {
                 return Ok(Permit {
                     server,
                     granted: false,
                 });
             };
-            if let Ok(Ok(grant)) = clock::timeout(ANSWER, answer).await {
+            if let Ok(Ok(grant)) = clock::timeout(GRANT_TIMEOUT, answer).await {
                 wait = grant.wait();
                 break;
             }
-            if !self.pass_over(owner) || others == 0 {
+            if !self.mark_owner_silent(owner) || owners_left == 0 {
                 break;
             }
-            claim = self.claim(server)?;
+            pending = self.request_permit(server)?;
         }
         if wait.is_zero() {
             return Ok(Permit {
@@ -117,19 +119,22 @@
         Err(NotPermitted)
     }
 
-    /// Takes that an owner gave no answer; says whether another one can be asked in its place.
-    fn pass_over(&self, owner: Name) -> bool {
-        /// A process that was killed is back by then.
-        const SPAN: Duration = Duration::from_millis(5_000);
+    /// Records that an owner gave no answer. Returns whether another host can be asked instead.
+    fn mark_owner_silent(&self, owner: Name) -> bool {
+        /// A process that was killed has restarted within this time.
+        const SILENT_OWNER_TIME: Duration = Duration::from_millis(5_000);
         let mut state = self.state.borrow_mut();
-        let together = state.groups.same_group(&self.settings.host, &owner);
-        if !together {
-            state.silent.note(owner, SPAN, clock::now());
+        let same_group = state.groups.same_group(&self.settings.host, &owner);
+        if !same_group {
+            state
+                .silent_owners
+                .note(owner, SILENT_OWNER_TIME, clock::now());
         }
-        !together
+        !same_group
     }
 
-    /// Notes that nothing goes to a server for a while. Where it is of another group, this host doesn't know of a bound.
+    /// Records that nothing is sent to a server for `wait`. If the server is in another group, this host doesn't know
+    /// whether it has a limit, so the wait is recorded as a backoff.
     fn deny(&self, server: Key, wait: Duration) {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
@@ -140,12 +145,12 @@
         }
     }
 
-    /// Gives leave to send a prompt by a plan: every engine that reads a part of it or holds memory for it takes it. All owners
-    /// are asked at the same time.
+    /// Acquires a permit to send a prompt according to a plan. Every engine that reads a part of the prompt or holds
+    /// memory for it must accept it. All owners are asked at the same time.
     ///
     /// # Errors
     ///
-    /// Where one of them takes nothing now.
+    /// Returns an error if one of the engines accepts nothing now.
     pub async fn permit_plan(&self, plan: &Plan) -> Result<Permit, NotPermitted> {
         let readers = plan.helpers.iter();
         let lenders = plan.shares.iter().map(|share| &share.server);
@@ -153,16 +158,16 @@
         others.sort();
         others.dedup();
         let others = others.into_iter().filter(|other| *other != plan.primary);
-        let others: Result<Vec<Claim>, NotPermitted> =
-            others.map(|other| self.claim(other)).collect();
-        let (others, first) = (others?, self.claim(plan.primary)?);
+        let others: Result<Vec<PendingPermit>, NotPermitted> =
+            others.map(|other| self.request_permit(other)).collect();
+        let (others, primary) = (others?, self.request_permit(plan.primary)?);
         for other in others {
-            self.settle(other).await?;
+            self.complete_permit(other).await?;
         }
-        self.settle(first).await
+        self.complete_permit(primary).await
     }
 
-    /// Says whether a permit still holds: the server may have said something of itself since.
+    /// Returns whether a permit is still valid. The server may have reported a limit or a backoff since.
     pub fn is_valid(&self, permit: &Permit) -> bool {
         let now = clock::now();
         let limited = self
@@ -171,24 +176,24 @@
             .limits
             .effective_limit(permit.server, now);
         let limited = limited.is_some();
-        (permit.granted || !limited) && self.takes_work(permit.server)
+        (permit.granted || !limited) && self.accepts_work(permit.server)
     }
 
-    /// Says whether new work may go to a server as far as is known.
-    fn takes_work(&self, server: Key) -> bool {
+    /// Returns whether new work may be sent to a server, as far as this host knows.
+    fn accepts_work(&self, server: Key) -> bool {
         let state = self.state.borrow();
-        let rests = !state.backoffs.left(&server, clock::now()).is_zero();
-        !rests && state.directory.get(server).is_some()
+        let backing_off = !state.backoffs.left(&server, clock::now()).is_zero();
+        !backing_off && state.directory.get(server).is_some()
     }
 
-    /// Asks the owner of the bound on what a server takes, if there may be one, for leave to send one request. What is known of a
-    /// server of another group is known there, so that its owner is asked each time.
+    /// Requests a grant from the owner of a server's limit if there may be a limit. The state of a server of another
+    /// group is known in that group only, so its owner is always asked.
     ///
     /// # Errors
     ///
-    /// Where the server takes none now.
-    fn claim(&self, server: Key) -> Result<Claim, NotPermitted> {
-        if !self.takes_work(server) {
+    /// Returns an error if the server accepts no request now.
+    fn request_permit(&self, server: Key) -> Result<PendingPermit, NotPermitted> {
+        if !self.accepts_work(server) {
             return Err(NotPermitted);
         }
         let own = &self.settings.host;
@@ -202,28 +207,31 @@
                 Some(limits.request(server, own, number, now))
             }
         };
-        let question = request.map(|request| self.ask_owner(request));
-        Ok(Claim { server, question })
+        let pending_grant = request.map(|request| self.request_grant(request));
+        Ok(PendingPermit {
+            server,
+            pending_grant,
+        })
     }
 
-    /// Asks the owner of the bound on what a server takes, which may be this host.
-    fn ask_owner(&self, request: Request) -> Question {
-        let answer = self.claims.borrow_mut().open(request.number);
+    /// Sends a grant request to the owner of a server's limit, which may be this host.
+    fn request_grant(&self, request: Request) -> PendingGrant {
+        let answer = self.grant_requests.borrow_mut().register(request.number);
         let owner = self.limit_owner(request.server);
-        let to = self.state.borrow().hosts.get(&owner);
+        let address = self.state.borrow().hosts.get(&owner);
         if owner == self.settings.host {
             let grant = self.grant(&request);
             self.apply_grant(grant);
-        } else if let Some(to) = to {
+        } else if let Some(to) = address {
             let message = Message::GrantRequest(request);
             self.queue_envelope(Envelope { to, message });
         } else {
-            log::debug!("{owner} can't be asked for a grant: no address");
+            log::debug!("cannot request a grant from {owner}: its address is unknown");
         }
-        Question { owner, answer }
+        PendingGrant { owner, answer }
     }
 
-    /// Answers a host that wants to send a request to a server with a limit.
+    /// Answers a grant request of a host that wants to send to a server with a limit.
     pub fn grant(&self, request: &Request) -> Grant {
         let own = &self.settings.host;
         if !self.state.borrow().groups.has_server(own, request.server) {
@@ -233,46 +241,46 @@
         let view = OwnerView {
             own,
             owner: &owner,
-            majority: self.hears_majority(),
+            majority: self.sees_majority(),
         };
         let mut state = self.state.borrow_mut();
         state.limits.grant(request, &view, clock::now())
     }
 
-    /// Says whether this host hears of most of the hosts that there are in its group.
-    fn hears_majority(&self) -> bool {
+    /// Returns whether this host receives notices from a majority of the hosts in its group.
+    fn sees_majority(&self) -> bool {
         let now = clock::now();
         let state = self.state.borrow();
         let own = &self.settings.host;
-        let heard = state.heard_in_group(own, &self.settings.domain, now);
-        let heard = heard.count() + 1;
+        let live = state.live_group_hosts(own, &self.settings.domain, now);
+        let live = live.count() + 1;
         let listed = self.startup_sync.knows_hosts().then(|| {
             let listed = state.hosts.names();
-            let of_group = listed.filter(|name| state.groups.same_group(own, name));
-            of_group.count()
+            let group_hosts = listed.filter(|name| state.groups.same_group(own, name));
+            group_hosts.count()
         });
-        rate_limit::is_majority(heard, listed)
+        rate_limit::is_majority(live, listed)
     }
 
-    /// Takes the answer of a limit's owner.
+    /// Applies the answer of a limit's owner.
     pub fn apply_grant(&self, grant: Grant) {
-        self.claims.borrow_mut().answer(grant);
+        self.grant_requests.borrow_mut().deliver(grant);
     }
 
-    /// Gives the host that owns a server's limit, as this one sees it.
+    /// Returns the host that owns a server's limit, from this host's point of view.
     pub(super) fn limit_owner(&self, server: Key) -> Name {
         let now = clock::now();
         let own = &self.settings.host;
         let state = self.state.borrow();
         let owner = if state.groups.has_server(own, server) {
-            let heard = state.heard_in_group(own, &self.settings.domain, now);
-            rate_limit::owner(server, heard.map(|host| host.name).chain([own]))
+            let live = state.live_group_hosts(own, &self.settings.domain, now);
+            rate_limit::owner(server, live.map(|host| host.name).chain([own]))
         } else {
             let group = state.groups.of_server(server);
             let listed = state.hosts.names();
-            let of_group = listed.filter(|name| state.groups.of_host(name) == group);
-            let answers = |name: &&Name| state.silent.left(name, now).is_zero();
-            rate_limit::owner(server, of_group.filter(answers))
+            let group_hosts = listed.filter(|name| state.groups.of_host(name) == group);
+            let is_answering = |name: &&Name| state.silent_owners.left(name, now).is_zero();
+            rate_limit::owner(server, group_hosts.filter(is_answering))
         };
         owner.unwrap_or(own).clone()
     }
--- a/crates/alderglade-serve/src/node/progress.rs
+++ b/crates/alderglade-serve/src/node/progress.rs
@@ -1,4 +1,4 @@
-//! How far each request in hand has come, so that the end of a stop can tell what it cuts off.
+//! The progress of each request in flight, so that the end of a stop can log what it cuts off.
 
 use alderglade_core::Name;
 use alderglade_core::time::Time;
@@ -6,20 +6,20 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What a request in hand is doing.
+/// The stage of a request in flight.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub enum Stage {
-    /// It comes in, or waits for a server.
+    /// The request is being received, or waits for a server.
     #[default]
     Waits,
-    /// It was sent to a server and is not answered yet.
+    /// The request was sent to a server and is not answered yet.
     Sent(Name),
-    /// Events of a server are passed on.
+    /// The events of a server's answer are being forwarded.
     PassesOn(Name),
 }
 
 impl Stage {
-    /// Gives the word for it in the log.
+    /// Returns the stage's label in the log.
     pub fn label(&self) -> &'static str {
         match self {
             Stage::Waits => "waits",
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Gives the server that has it.
+    /// Returns the server that works on the request.
     pub fn server(&self) -> Option<&str> {
         match self {
             Stage::Waits => None,
@@ -37,10 +37,10 @@
     }
 }
 
-/// How far one request has come.
+/// The progress of one request.
 #[derive(Debug)]
 pub struct Progress {
-    /// When its head came.
+    /// When the request's head arrived.
     pub arrived: Time,
     id: RefCell<Option<Name>>,
     stage: RefCell<Stage>,
@@ -48,8 +48,8 @@
 }
 
 impl Progress {
-    /// Notes a request whose head has just come.
-    pub(super) fn begin(arrived: Time) -> Progress {
+    /// Creates the progress of a request whose head has just arrived.
+    pub(super) fn new(arrived: Time) -> Progress {
         Progress {
             arrived,
             id: RefCell::default(),
@@ -58,65 +58,65 @@
         }
     }
 
-    /// Notes the request's id, once its head is understood.
+    /// Sets the request's id, once its head is parsed.
     pub fn set_id(&self, id: &Name) {
         self.id.replace(Some(id.clone()));
     }
 
-    /// Notes what the request does from now on.
+    /// Sets the request's current stage.
     pub fn set_stage(&self, stage: Stage) {
         self.stage.replace(stage);
     }
 
-    /// Gives the request's id; empty where its head is not understood.
+    /// Returns the request's id; empty if its head is not parsed.
     pub fn id(&self) -> Name {
         let id = self.id.borrow();
         id.clone().unwrap_or_else(|| "".into())
     }
 
-    /// Gives what the request does.
+    /// Returns the request's current stage.
     pub fn stage(&self) -> Stage {
         self.stage.borrow().clone()
     }
 
-    /// Says whether the end of the host cuts the request off.
+    /// Returns whether the end of the host cuts the request off.
     pub fn is_cut_off(&self) -> bool {
         self.cut_off.get()
     }
 
-    /// Notes that the end of the host cuts the request off.
-    pub(super) fn cut_off(&self) {
+    /// Records that the end of the host cuts the request off.
+    pub(super) fn mark_cut_off(&self) {
         self.cut_off.set(true);
     }
 }
 
-/// The requests in hand, in the order in which they came.
+/// The requests in flight, in the order of their arrival.
 #[derive(Debug, Default)]
-pub(super) struct InHand {
-    last: Cell<u64>,
+pub(super) struct RequestsInFlight {
+    last_number: Cell<u64>,
     requests: RefCell<BTreeMap<u64, Rc<Progress>>>,
 }
 
-impl InHand {
-    /// Gives how many there are.
+impl RequestsInFlight {
+    /// Returns the number of requests.
     pub(super) fn len(&self) -> usize {
         self.requests.borrow().len()
     }
 
-    /// Takes a request in and gives the number by which it is given back.
+    /// Adds a request and returns the number by which it is removed.
     pub(super) fn add(&self, progress: Rc<Progress>) -> u64 {
-        let number = self.last.get() + 1;
-        self.last.set(number);
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
         self.requests.borrow_mut().insert(number, progress);
         number
     }
 
-    /// Gives a request back.
+    /// Removes a request.
     pub(super) fn remove(&self, number: u64) {
         self.requests.borrow_mut().remove(&number);
     }
 
-    /// Lists all, the oldest first.
+    /// Returns all requests, oldest first.
     pub(super) fn list(&self) -> Vec<Rc<Progress>> {
         self.requests.borrow().values().cloned().collect()
     }
--- a/crates/alderglade-serve/src/node/quarantine.rs
+++ b/crates/alderglade-serve/src/node/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which servers end, as this host sees them and keeps them from servers.
+//! Requests under which servers end: what this host observes, and how it keeps such requests from servers.
 
 use super::Node;
 use crate::clock;
@@ -9,11 +9,11 @@
 use alderglade_core::time::Time;
 use std::time::Duration;
 
-/// How often a request that waits to be judged looks whether it is; some messages between hosts.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+/// How often a pending request checks for a verdict; several messages between hosts.
+const VERDICT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Node {
-    /// Gives how much longer a request is sent to no server, if it is barred.
+    /// Returns the remaining time for which a request is sent to no server, if it is barred.
     pub fn barred_for(&self, fingerprint: Fingerprint) -> Option<Duration> {
         self.state
             .borrow()
@@ -21,12 +21,12 @@
             .barred_for(fingerprint, clock::now())
     }
 
-    /// Says whether a request is suspected: one more end under it, and it is judged.
+    /// Returns whether a request is suspect: after one more server end under it, it is evaluated.
     pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
         self.state.borrow().quarantine.is_suspect(fingerprint)
     }
 
-    /// Notes that a server broke a request off, which had run there for `ran` if it had begun.
+    /// Records that a server interrupted a request, which had run there for `ran` if it had begun.
     pub fn record_interruption(
         &self,
         fingerprint: Fingerprint,
@@ -38,30 +38,30 @@
         });
     }
 
-    /// Notes that a server has ended.
+    /// Records that a server has ended.
     pub fn record_server_end(&self, server: Key) {
         self.with_quarantine(|quarantine, now| quarantine.record_server_end(server, now));
         self.loads_changed.notify_one();
     }
 
-    /// Notes that a request was answered to its end.
+    /// Records that a request was answered completely.
     pub fn record_success(&self, fingerprint: Fingerprint) {
         self.with_quarantine(|quarantine, now| quarantine.record_success(fingerprint, now));
     }
 
-    /// Takes what another host tells of such requests.
-    pub fn apply_findings(&self, finding: &[Finding]) {
-        if finding.is_empty() {
+    /// Applies another host's findings about such requests.
+    pub fn apply_findings(&self, findings: &[Finding]) {
+        if findings.is_empty() {
             return;
         }
         self.with_quarantine(|quarantine, now| {
-            finding
+            findings
                 .iter()
                 .for_each(|finding| quarantine.apply_finding(finding, now));
         });
     }
 
-    /// Waits while a request is about to be judged.
+    /// Waits while the verdict on a request is pending.
     pub async fn wait_for_verdict(&self, fingerprint: Fingerprint) {
         while self
             .state
@@ -69,14 +69,14 @@
             .quarantine
             .is_pending(fingerprint, clock::now())
         {
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(VERDICT_POLL_INTERVAL).await;
             self.with_quarantine(Quarantine::evaluate);
         }
     }
 
-    /// Judges what is settled by now, and lets lapse what is over its time.
+    /// Evaluates requests that are decidable by now and removes expired state.
     pub(super) fn tick_quarantine(&self) {
-        for server in self.gone_in_doubt() {
+        for server in self.unconfirmed_departures() {
             self.record_server_end(server);
         }
         self.with_quarantine(|quarantine, now| {
@@ -85,55 +85,55 @@
         });
     }
 
-    /// Lists the servers that broke something off and have gone since, or started again: who listens at their address may be
-    /// another process, so that this is the only sign of their end.
-    fn gone_in_doubt(&self) -> Vec<Key> {
+    /// Returns the servers that interrupted a request and have since been removed or restarted. Another process may
+    /// listen at their address, so this is the only sign of their end.
+    fn unconfirmed_departures(&self) -> Vec<Key> {
         let state = &mut *self.state.borrow_mut();
-        let in_doubt = state.quarantine.unconfirmed_servers(clock::now());
+        let unconfirmed = state.quarantine.unconfirmed_servers(clock::now());
         let directory = &state.directory;
-        in_doubt
+        unconfirmed
             .into_iter()
             .filter(|server| !directory.knows(*server))
             .collect()
     }
 
-    /// Waits until the store should be told what was decided on requests, and gives it.
+    /// Waits for verdicts that the store should receive and returns them.
     pub async fn next_verdicts(&self) -> Vec<Verdict> {
         loop {
-            let decided = std::mem::take(&mut *self.verdicts.borrow_mut());
-            if !decided.is_empty() {
-                return decided;
+            let verdicts = std::mem::take(&mut *self.verdicts.borrow_mut());
+            if !verdicts.is_empty() {
+                return verdicts;
             }
-            self.verdicts_made.notified().await;
+            self.verdicts_ready.notified().await;
         }
     }
 
-    /// Has something noted, and tells what was decided by it.
-    pub(super) fn with_quarantine(&self, act: impl FnOnce(&mut Quarantine, Time)) {
+    /// Applies a change to the quarantine state, and logs and publishes the verdicts that result.
+    pub(super) fn with_quarantine(&self, apply: impl FnOnce(&mut Quarantine, Time)) {
         let mut state = self.state.borrow_mut();
-        act(&mut state.quarantine, clock::now());
+        apply(&mut state.quarantine, clock::now());
         let verdicts = state.quarantine.take_verdicts();
         if verdicts.is_empty() {
             return;
         }
         self.metrics.quarantined.set(state.quarantine.len() as i64);
-        let watches = state.watches_store();
+        let watches_store = state.watches_store();
         drop(state);
-        verdicts.iter().for_each(tell);
-        let kept = |verdict: &Verdict| {
-            // What is over its time is taken out of the store by those that watch it.
-            verdict.first_hand || (watches && verdict.decision == Decision::Released)
+        verdicts.iter().for_each(log_verdict);
+        let is_stored = |verdict: &Verdict| {
+            // The hosts that watch the store remove expired entries from it.
+            verdict.first_hand || (watches_store && verdict.decision == Decision::Released)
         };
         self.verdicts
             .borrow_mut()
-            .extend(verdicts.into_iter().filter(kept));
-        self.verdicts_made.notify_one();
+            .extend(verdicts.into_iter().filter(is_stored));
+        self.verdicts_ready.notify_one();
         self.loads_changed.notify_one();
     }
 }
 
-/// Writes what was decided on a request.
-fn tell(verdict: &Verdict) {
+/// Logs the verdict on a request.
+fn log_verdict(verdict: &Verdict) {
     let fingerprint = verdict.fingerprint;
     event::write(&match verdict.decision {
         Decision::Barred(servers) => Record::Quarantined {
--- a/crates/alderglade-serve/src/node/relay.rs
+++ b/crates/alderglade-serve/src/node/relay.rs
@@ -1,4 +1,4 @@
-//! What a host asks the store, and how it knows through other hosts how old its word of the store is.
+//! What a host queries from the store, and how other hosts confirm the age of its copy of the store's state.
 
 use super::{Node, State};
 use crate::clock;
@@ -14,21 +14,21 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A host that has watched the store is in contact while it was answered within this time: a watch of
-/// the configuration waits for 1.5 s and may take one more.
-const IN_CONTACT: Duration = Duration::from_millis(2_600);
+/// A host that watches the store is in contact with it if the store answered within this time. A watch of the
+/// configuration waits for 1.5 s and may take one more second.
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(2_600);
 
 impl Node {
-    /// Waits until the store should be asked about a topic, and says how.
+    /// Waits until the store should be queried for a topic. Returns how.
     pub async fn next_store_query(&self, topic: Topic) -> StoreQuery {
         loop {
-            match self.due(topic) {
+            match self.poll_query(topic) {
                 None => self.store_status_changed.notified().await,
                 Some(StoreQuery::Watch) => return StoreQuery::Watch,
-                Some(StoreQuery::Fetch(pause)) => {
+                Some(StoreQuery::Fetch(delay)) => {
                     let behind = topic == Topic::Config && self.is_behind();
-                    clock::sleep(pause).await;
-                    // Meanwhile a watcher may have told what has changed.
+                    clock::sleep(delay).await;
+                    // In the meantime a watcher may have sent the change.
                     if !behind || self.is_behind() {
                         return StoreQuery::Fetch(Duration::ZERO);
                     }
@@ -37,43 +37,45 @@
         }
     }
 
-    /// Says whether a watcher has a newer configuration.
+    /// Returns whether a watcher has a newer configuration.
     fn is_behind(&self) -> bool {
         let now = clock::now();
         let state = self.state.borrow();
-        let heard: Vec<Neighbour<'_>> =
+        let peers: Vec<Neighbour<'_>> =
             state.loads.live_hosts(&self.settings.domain, now).collect();
-        relay::is_behind(&self.own(&state, now), &heard)
+        relay::is_behind(&self.local_status(&state, now), &peers)
     }
 
-    /// Says whether this host watches the store, or has not found out yet that others do.
+    /// Returns whether this host watches the store, or has not found out yet that others do.
     pub fn queries_store(&self) -> bool {
         self.state.borrow().queries_store()
     }
 
-    /// Says whether and how the store should be asked about a topic now.
-    fn due(&self, topic: Topic) -> Option<StoreQuery> {
+    /// Returns whether and how the store should be queried for a topic now.
+    fn poll_query(&self, topic: Topic) -> Option<StoreQuery> {
         let now = clock::now();
-        let chance = rand::rng().random::<f64>();
+        let random = rand::rng().random::<f64>();
         let state = &mut *self.state.borrow_mut();
-        let own = self.own(state, now);
-        let heard: Vec<Neighbour<'_>> =
+        let local_status = self.local_status(state, now);
+        let peers: Vec<Neighbour<'_>> =
             state.loads.live_hosts(&self.settings.domain, now).collect();
-        let before = state.relay.role();
-        let query = state.relay.next_query(topic, &own, &heard, chance, now);
-        if state.relay.role() != before {
-            tell_role(state.relay.role(), &own, &heard);
+        let previous_role = state.relay.role();
+        let query = state
+            .relay
+            .next_query(topic, &local_status, &peers, random, now);
+        if state.relay.role() != previous_role {
+            log_role(state.relay.role(), &local_status, &peers);
             if state.relay.role() == Role::Watcher {
-                state.new_hosts = state.hosts.all();
+                state.unpublished_hosts = state.hosts.all();
             }
-            // Peers judge its silence by what its last notice says, and watchers are heard more often.
+            // Peers compute the timeout of this host from its last notice, and watchers send notices more often.
             self.loads_changed.notify_one();
         }
         query
     }
 
-    /// Gives what this host knows of the store.
-    fn own(&self, state: &State, now: Time) -> LocalStatus<'_> {
+    /// Returns this host's own status with regard to the store.
+    fn local_status(&self, state: &State, now: Time) -> LocalStatus<'_> {
         LocalStatus {
             name: &self.settings.host,
             domain: &self.settings.domain,
@@ -87,18 +89,19 @@
         }
     }
 
-    /// Gives the longest time from one notice of this host to the next.
+    /// Returns the maximum interval between two notices of this host.
     pub fn heartbeat(&self) -> Duration {
         let state = self.state.borrow();
         heartbeat::interval(state.loads.host_count(), state.watches_store())
     }
 
-    /// Gives what this host tells its peers of the store.
+    /// Returns the store status that this host sends to its peers.
     pub fn store_status(&self) -> StoreStatus {
         let now = clock::now();
         let state = self.state.borrow();
         StoreStatus {
-            in_contact: state.watches_store() && self.store.get().answered_within(IN_CONTACT, now),
+            in_contact: state.watches_store()
+                && self.store.get().answered_within(CONTACT_TIMEOUT, now),
             config: state.config_version(),
             servers: state.directory.digest(),
             era: self.era(),
@@ -107,8 +110,8 @@
         }
     }
 
-    /// Names the hosts to ask for the age of their word at a heartbeat: one now and then, every watcher where the own word is
-    /// old or the store doesn't answer this host.
+    /// Returns the hosts to ask for a confirmation at a heartbeat: one of them now and then; every watcher if this
+    /// host's state is too old or the store doesn't answer it.
     pub fn confirmation_targets(&self, beat: u64) -> Vec<SocketAddr> {
         let now = clock::now();
         let state = self.state.borrow();
@@ -117,22 +120,25 @@
             return Vec::new();
         }
         let age = state.freshness.age(now);
-        let old = lost || Relay::is_stale(age, self.settings.revocation);
-        let heard: Vec<Neighbour<'_>> =
+        let stale = lost || Relay::is_stale(age, self.settings.revocation);
+        let peers: Vec<Neighbour<'_>> =
             state.loads.live_hosts(&self.settings.domain, now).collect();
-        if old {
-            let watchers = heard.iter().filter(|host| host.store.in_contact);
+        if stale {
+            let watchers = peers.iter().filter(|host| host.store.in_contact);
             let addresses = watchers.filter_map(|host| state.hosts.get(host.name));
             return addresses.collect();
         }
-        let sources = self.own(&state, now).confirmation_sources(&heard, beat);
-        let one = sources.into_iter().choose(&mut rand::rng());
-        one.and_then(|name| state.hosts.get(name))
+        let sources = self
+            .local_status(&state, now)
+            .confirmation_sources(&peers, beat);
+        let source = sources.into_iter().choose(&mut rand::rng());
+        source
+            .and_then(|name| state.hosts.get(name))
             .into_iter()
             .collect()
     }
 
-    /// Answers a peer's question; a host without a configuration has no answer.
+    /// Answers a peer's confirmation request; `None` if this host has no configuration.
     pub fn answer_confirmation(&self, request: ConfirmationRequest) -> Option<Confirmation> {
         let now = clock::now();
         let state = self.state.borrow();
@@ -146,11 +152,11 @@
         })
     }
 
-    /// Takes a peer's answer. It confirms only what this host knows too.
-    pub fn take_confirmation(&self, answer: &Confirmation, from: SocketAddr) {
-        self.startup_sync.note_answer(from, answer.config);
+    /// Applies a peer's confirmation. It covers only what this host knows, too.
+    pub fn apply_confirmation(&self, answer: &Confirmation, from: SocketAddr) {
+        self.startup_sync.record_answer(from, answer.config);
         let state = &mut *self.state.borrow_mut();
-        // A peer with an older one may have it from a copy of the store.
+        // A peer with an older version may have it from a restored copy of the store.
         if state.config_version() == answer.config
             && let Some(at) = answer.at()
         {
@@ -159,16 +165,16 @@
         state.directory.confirm(answer.servers, answer.position);
     }
 
-    /// Takes what a peer tells of the store in a notice.
+    /// Applies the store status of a peer's notice.
     pub fn apply_store_status(&self, status: &StoreStatus) {
         if !status.in_contact {
             return;
         }
         self.observe_era(status.era);
         let state = &mut *self.state.borrow_mut();
-        // A watcher knows by itself; taken from each other, doubts would last for ever.
+        // A watcher determines the grace period itself. If watchers adopted it from each other, it would never end.
         if !state.watches_store() {
-            state.take_grace(status.grace_ms);
+            state.apply_grace(status.grace_ms);
         }
         if status.config > state.config_version() {
             self.store_status_changed.notify_waiters();
@@ -176,13 +182,13 @@
     }
 }
 
-/// Writes which role the host has taken, and why.
-fn tell_role(role: Role, own: &LocalStatus<'_>, heard: &[Neighbour<'_>]) {
-    let near = heard.iter().filter(|host| host.same_domain);
+/// Logs the host's new role and the reasons for it.
+fn log_role(role: Role, local_status: &LocalStatus<'_>, peers: &[Neighbour<'_>]) {
+    let same_domain = peers.iter().filter(|host| host.same_domain);
     event::write(&Record::StoreRole {
         role: role.label(),
-        heard: near.clone().count(),
-        watchers: near.filter(|host| host.store.in_contact).count(),
-        store_age_ms: own.age.map(|age| age.as_millis() as u64),
+        heard: same_domain.clone().count(),
+        watchers: same_domain.filter(|host| host.store.in_contact).count(),
+        store_age_ms: local_status.age.map(|age| age.as_millis() as u64),
     });
 }
--- a/crates/alderglade-serve/src/node/retry_budget.rs
+++ b/crates/alderglade-serve/src/node/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Sends beyond the first of a request: from this host's part of the budget, or from what others lend.
+//! Retries of requests, paid from this host's part of the retry budget or from loans of other hosts.
 
 use super::{Envelope, Node, State};
 use crate::clock;
@@ -12,18 +12,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Hosts that are asked for a part of their budget, one after the other, before a repeat is given up.
-const ASKED: usize = 4;
-/// How long one of them may take: some times the way there and back within a failure domain, for a busy host.
-const ANSWER: Duration = Duration::from_millis(25);
+/// Maximum number of hosts that are asked for a loan, one after the other, before a retry is given up.
+const MAX_LENDERS: usize = 4;
+/// How long one of them may take: several round trips within a failure domain, for a busy host.
+const LOAN_TIMEOUT: Duration = Duration::from_millis(25);
 
 impl Node {
-    /// Notes the first send of a request to a service.
+    /// Records the first send of a request to a service.
     pub fn record_first_send(&self, service: &Name) {
         self.with_budget(service, |budget, now, _| budget.request(now));
     }
 
-    /// Takes one repeated send to a service from the budget; asks other hosts where this one's part is used up.
+    /// Spends one retry for a service; asks other hosts for loans if this host's part is used up. Returns whether the
+    /// retry is allowed.
     pub async fn spend_retry(&self, id: &str, service: &Name) -> bool {
         if self.spend_own(service) {
             return true;
@@ -31,7 +32,7 @@
         let lenders = self.lenders(service);
         let asked = lenders.len();
         for lender in lenders {
-            self.borrow_from(lender, service).await;
+            self.request_loan(lender, service).await;
             if self.spend_own(service) {
                 return true;
             }
@@ -46,12 +47,12 @@
         false
     }
 
-    /// Takes back a repeated send that reached no server.
+    /// Refunds a retry that reached no server.
     pub fn refund_retry(&self, service: &Name) {
         self.with_budget(service, |budget, _, _| budget.refund());
     }
 
-    /// Takes one repeated send from what this host has.
+    /// Spends one retry from this host's own part.
     fn spend_own(&self, service: &Name) -> bool {
         let spent = self.with_budget(service, |budget, now, hosts| budget.spend(now, hosts));
         if spent {
@@ -60,7 +61,7 @@
         spent
     }
 
-    /// Names the hosts to ask: some of the own failure domain, and one of any.
+    /// Returns the hosts to ask for a loan: some of the own failure domain, and one of any.
     fn lenders(&self, service: &Name) -> Vec<SocketAddr> {
         let now = clock::now();
         let state = self.state.borrow();
@@ -68,11 +69,15 @@
             return Vec::new();
         }
         let mut rng = rand::rng();
-        let heard = state.loads.live_hosts(&self.settings.domain, now);
-        let near = heard.clone().filter(|host| host.same_domain);
-        let near = near.sample(&mut rng, ASKED - 1);
-        let any = heard.choose(&mut rng);
-        let mut names: Vec<&Name> = near.iter().chain(&any).map(|host| host.name).collect();
+        let live = state.loads.live_hosts(&self.settings.domain, now);
+        let same_domain = live.clone().filter(|host| host.same_domain);
+        let same_domain = same_domain.sample(&mut rng, MAX_LENDERS - 1);
+        let any = live.choose(&mut rng);
+        let mut names: Vec<&Name> = same_domain
+            .iter()
+            .chain(&any)
+            .map(|host| host.name)
+            .collect();
         names.dedup();
         names
             .into_iter()
@@ -80,8 +85,8 @@
             .collect()
     }
 
-    /// Asks a host for what is missing for one repeat, and waits for its answer.
-    async fn borrow_from(&self, lender: SocketAddr, service: &Name) {
+    /// Requests the missing part of one retry from a host and waits for the answer.
+    async fn request_loan(&self, lender: SocketAddr, service: &Name) {
         let missing = self.with_budget(service, |budget, now, hosts| budget.missing(now, hosts));
         let request = {
             let mut state = self.state.borrow_mut();
@@ -94,21 +99,21 @@
         });
         let answered = async {
             loop {
-                let lent = self.lent.notified();
+                let answered = self.loan_answered.notified();
                 if !self.state.borrow().loan_requests.is_open(number) {
                     return;
                 }
-                lent.await;
+                answered.await;
             }
         };
-        // In vain or not, what has come by then counts.
-        let _ = tokio::time::timeout(ANSWER, answered).await;
+        // After a timeout, a loan that arrived by then still counts.
+        let _ = tokio::time::timeout(LOAN_TIMEOUT, answered).await;
     }
 
-    /// Lends a host what it asks for, as far as there is something left.
+    /// Lends a host what it requests, as far as this host has something left.
     pub fn lend(&self, request: &Request) -> Loan {
-        let lent = |budget: &mut Budget, now, hosts| budget.lend(request.missing, now, hosts);
-        let part = self.with_budget(&request.service, lent);
+        let lend = |budget: &mut Budget, now, hosts| budget.lend(request.missing, now, hosts);
+        let part = self.with_budget(&request.service, lend);
         self.metrics
             .lent
             .inc_by(f64::from(part) / f64::from(UNITS_PER_RETRY));
@@ -118,8 +123,8 @@
         }
     }
 
-    /// Takes what another host has lent.
-    pub fn take_loan(&self, loan: Loan) {
+    /// Deposits a loan of another host.
+    pub fn accept_loan(&self, loan: Loan) {
         let now = clock::now();
         let deposit = self.state.borrow_mut().loan_requests.answer(loan, now);
         if let Some(deposit) = deposit {
@@ -127,28 +132,32 @@
                 budget.deposit(deposit.part, deposit.until);
             });
         }
-        self.lent.notify_waiters();
+        self.loan_answered.notify_waiters();
     }
 
-    /// Gives what is left of this host's own parts, in repeats, where it is least.
+    /// Returns the smallest remainder of this host's own parts over all services, in retries.
     pub(super) fn retries_left(&self, state: &mut State, now: Time) -> f64 {
-        let hosts = state.known_hosts();
+        let hosts = state.known_host_count();
         let budgets = state.budgets.values_mut();
         let left = budgets.map(|budget| budget.remaining(now, hosts));
         left.min()
             .map_or(0.0, |least| f64::from(least) / f64::from(UNITS_PER_RETRY))
     }
 
-    fn with_budget<T>(&self, service: &Name, act: impl FnOnce(&mut Budget, Time, usize) -> T) -> T {
+    fn with_budget<T>(
+        &self,
+        service: &Name,
+        apply: impl FnOnce(&mut Budget, Time, usize) -> T,
+    ) -> T {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
-        let hosts = state.known_hosts();
+        let hosts = state.known_host_count();
         let bound = self.settings.retries;
-        let began = self.began;
+        let started = self.started;
         let budget = state
             .budgets
             .entry(service.clone())
-            .or_insert_with(|| Budget::new(bound, began));
-        act(budget, now, hosts)
+            .or_insert_with(|| Budget::new(bound, started));
+        apply(budget, now, hosts)
     }
 }
--- a/crates/alderglade-serve/src/node/startup_sync.rs
+++ b/crates/alderglade-serve/src/node/startup_sync.rs
@@ -1,4 +1,4 @@
-//! What other hosts tell one that has just started.
+//! Queries to other hosts at startup.
 
 use super::{Envelope, Node};
 use crate::clock;
@@ -8,73 +8,80 @@
 use std::net::SocketAddr;
 use tokio::sync::Notify;
 
-/// A host's word of its configuration.
+/// A host's answer with the version of its configuration.
 #[derive(Debug, Clone, Copy)]
-struct Advice {
+struct ConfigAnswer {
     from: SocketAddr,
     version: u64,
 }
 
-/// The questions of a host that has just started, and the answers.
+/// The state of the queries at startup.
 #[derive(Debug, Default)]
 pub(super) struct StartupSync {
     /// Whether the store has listed the hosts.
     hosts_listed: Cell<bool>,
-    /// Whether it is over: others were asked, or there are none.
-    over: Cell<bool>,
-    answers: RefCell<Vec<Advice>>,
-    /// Wakes whoever waits for the next step.
-    step: Notify,
+    /// Whether the queries are finished: other hosts were asked, or there are none.
+    finished: Cell<bool>,
+    answers: RefCell<Vec<ConfigAnswer>>,
+    /// Wakes the tasks that wait for the next step.
+    progress: Notify,
 }
 
 impl StartupSync {
-    /// Says whether it is over.
-    pub(super) fn is_over(&self) -> bool {
-        self.over.get()
+    /// Returns whether the queries are finished.
+    pub(super) fn is_finished(&self) -> bool {
+        self.finished.get()
     }
 
-    /// Says whether the store has listed the hosts.
+    /// Returns whether the store has listed the hosts.
     pub(super) fn knows_hosts(&self) -> bool {
         self.hosts_listed.get()
     }
 
-    /// Notes that the store has listed the hosts.
-    pub(super) fn note_hosts(&self) {
+    /// Records that the store has listed the hosts.
+    pub(super) fn record_hosts_listed(&self) {
         self.hosts_listed.set(true);
-        self.step.notify_waiters();
+        self.progress.notify_waiters();
     }
 
-    /// Takes a host's answer.
-    pub(super) fn note_answer(&self, from: SocketAddr, version: u64) {
-        if !self.over.get() {
-            self.answers.borrow_mut().push(Advice { from, version });
-            self.step.notify_waiters();
+    /// Records a host's answer.
+    pub(super) fn record_answer(&self, from: SocketAddr, version: u64) {
+        if !self.finished.get() {
+            self.answers
+                .borrow_mut()
+                .push(ConfigAnswer { from, version });
+            self.progress.notify_waiters();
         }
     }
 }
 
 impl Node {
-    /// Waits until the store has listed the hosts and given the configuration.
+    /// Waits until the store has listed the hosts and provided the configuration.
     pub async fn wait_for_hosts(&self) {
         loop {
-            let step = self.startup_sync.step.notified();
-            let learnt = self.learnt.notified();
+            let progress = self.startup_sync.progress.notified();
+            let startup_progress = self.startup_progress.notified();
             let has_config = self.state.borrow().config.is_some();
             if has_config && self.startup_sync.hosts_listed.get() {
                 return;
             }
             tokio::select! {
-                () = step => {}
-                () = learnt => {}
+                () = progress => {}
+                () = startup_progress => {}
             }
         }
     }
 
-    /// Asks some other hosts how old their word of the store is, which tells their version too; gives how many.
-    pub fn query_peers(&self, most: usize) -> usize {
+    /// Asks up to `max_hosts` other hosts for a confirmation, which contains their configuration version. Returns the
+    /// number of hosts asked.
+    pub fn query_peers(&self, max_hosts: usize) -> usize {
         let own = &self.settings.host;
-        let others = self.state.borrow().hosts.addresses_but(|name| name == own);
-        let asked = others.into_iter().sample(&mut rand::rng(), most);
+        let others = self
+            .state
+            .borrow()
+            .hosts
+            .addresses_except(|name| name == own);
+        let asked = others.into_iter().sample(&mut rand::rng(), max_hosts);
         let asked_us = clock::now().0;
         for to in &asked {
             let message = Message::ConfirmationRequest(ConfirmationRequest { asked_us });
@@ -83,29 +90,29 @@
         asked.len()
     }
 
-    /// Waits until so many hosts have answered, or one of them has a newer configuration.
-    pub async fn wait_for_answers(&self, enough: usize) {
+    /// Waits until `count` hosts have answered, or one of them has a newer configuration.
+    pub async fn wait_for_answers(&self, count: usize) {
         loop {
-            let step = self.startup_sync.step.notified();
+            let progress = self.startup_sync.progress.notified();
             let answers = self.startup_sync.answers.borrow().len();
-            if answers >= enough || self.newer_config_source().is_some() {
+            if answers >= count || self.newer_config_source().is_some() {
                 return;
             }
-            step.await;
+            progress.await;
         }
     }
 
-    /// Gives a host that has told of a newer configuration than the one in force.
+    /// Returns a host that has reported a newer configuration than the one in force.
     pub fn newer_config_source(&self) -> Option<SocketAddr> {
         let answers = self.startup_sync.answers.borrow();
-        let newest = answers.iter().max_by_key(|advice| advice.version)?;
+        let newest = answers.iter().max_by_key(|answer| answer.version)?;
         let in_force = self.state.borrow().config_version();
         (newest.version > in_force).then_some(newest.from)
     }
 
-    /// Notes that others were asked, and wakes requests that wait for it.
+    /// Records that the queries are finished, and wakes the requests that wait for them.
     pub fn finish_startup_sync(&self) {
-        self.startup_sync.over.set(true);
-        self.learnt.notify_waiters();
+        self.startup_sync.finished.set(true);
+        self.startup_progress.notify_waiters();
     }
 }
--- a/crates/alderglade-serve/src/node/state.rs
+++ b/crates/alderglade-serve/src/node/state.rs
@@ -1,6 +1,6 @@
-//! What a host knows and holds while it serves.
+//! The mutable state of a host.
 //!
-//! All of it changes together on the host's one thread, so that decisions never see half of a change.
+//! All changes happen on the host's single thread, so that no decision sees a partial change.
 
 use super::{Host, Hosts};
 use crate::clock;
@@ -29,62 +29,62 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What changes while the host serves.
+/// The mutable state of a host.
 pub struct State {
     /// The configuration in force.
     pub config: Option<Rc<Config>>,
     /// The backend servers.
     pub directory: Directory,
-    /// The failure domains that are evacuated.
+    /// The evacuated failure domains.
     pub evacuations: Evacuations,
-    /// What every host holds at every server.
+    /// The reservations of every host at every server.
     pub loads: LoadTable,
-    /// The pauses that the answers of each service of engines bear.
+    /// The pauses that callers tolerate between the events of an answer, by service of engines.
     pub(super) pauses: HashMap<Name, Pauses>,
-    /// What was learnt of servers.
+    /// The health of servers.
     pub health: Health,
-    /// What is known of requests under which servers end.
+    /// Requests under which servers end.
     pub quarantine: Quarantine,
-    /// Servers that want nothing of this host for a while.
+    /// Servers that asked this host to send nothing for a while.
     pub(super) backoffs: Backoffs<Key>,
-    /// What servers take from all hosts together: those that have named a limit, and cold ones.
+    /// Rate limits of servers over all hosts: limits that servers have reported, and those of cold servers.
     pub limits: Limits,
-    /// The age of the store's word.
+    /// The age of the store's state as known here.
     pub freshness: Freshness,
-    /// Whether the store is in reach.
+    /// Whether the store can be reached.
     pub(super) connectivity: Connectivity,
-    /// What is wrong with the newest configuration, where it can't be read.
+    /// The problem with the newest configuration, if it can't be read.
     pub(super) config_fault: Option<String>,
     /// The entries of hosts that can't be read.
     pub(super) host_faults: Faults,
-    /// Hosts that have come since operators were told.
+    /// Hosts that have joined since the last log line about them.
     pub newcomers: Vec<Name>,
     /// The entry hosts' addresses.
     pub hosts: Hosts,
-    /// How many hosts the store listed when hosts that watch it last told so.
-    pub(super) told_hosts: Option<usize>,
+    /// The number of hosts that the store lists, as last reported by hosts that watch it.
+    pub(super) reported_hosts: Option<usize>,
     /// The groups of hosts and servers.
     pub groups: Groups,
-    /// Who asks the store.
+    /// Whether this host watches the store or follows hosts that do.
     pub(super) relay: Relay,
-    /// What the hosts of the own failure domain have not been told yet.
+    /// Updates that were not sent yet to the hosts of the own failure domain.
     pub(super) outbox: Vec<StoreUpdate>,
-    /// Hosts of which they have not been told yet.
-    pub(super) new_hosts: Vec<Host>,
-    /// Pieces of what watchers of the store tell of the servers.
+    /// Hosts whose addresses were not sent yet to the hosts of the own failure domain.
+    pub(super) unpublished_hosts: Vec<Host>,
+    /// Fragments of the server updates of hosts that watch the store.
     pub(super) reassembly: Reassembly,
-    /// What each service may still be sent again.
+    /// The retry budget of each service.
     pub(super) budgets: HashMap<Name, Budget>,
-    /// Hosts of other groups, of which nothing is heard, that gave no answer.
-    pub(super) silent: Backoffs<Name>,
-    /// What this host asks of others' budgets.
+    /// Hosts of other groups that gave no answer to a grant request. No notices are received from them.
+    pub(super) silent_owners: Backoffs<Name>,
+    /// This host's requests for loans from other hosts' retry budgets.
     pub(super) loan_requests: LoanRequests,
-    /// Own calls that run at plain backend servers.
+    /// This host's running calls to plain backend servers.
     pub(super) calls: HashMap<Key, u32>,
 }
 
 impl Default for State {
-    /// Knows nothing and holds nothing.
+    /// Returns the state of a host that knows nothing and holds nothing.
     fn default() -> State {
         State {
             config: None,
@@ -102,14 +102,14 @@
             host_faults: Faults::default(),
             newcomers: Vec::new(),
             hosts: Hosts::default(),
-            told_hosts: None,
+            reported_hosts: None,
             groups: Groups::default(),
             relay: Relay::default(),
             outbox: Vec::new(),
-            new_hosts: Vec::new(),
+            unpublished_hosts: Vec::new(),
             reassembly: Reassembly::default(),
             budgets: HashMap::new(),
-            silent: Backoffs::default(),
+            silent_owners: Backoffs::default(),
             loan_requests: LoanRequests::new(rand::rng().random()),
             calls: HashMap::new(),
         }
@@ -117,35 +117,35 @@
 }
 
 impl State {
-    /// Gives the version of the configuration in force; `0` where there is none.
+    /// Returns the version of the configuration in force; `0` if there is none.
     pub(super) fn config_version(&self) -> u64 {
         self.config.as_ref().map_or(0, |config| config.version)
     }
 
-    /// Says whether the host watches the store for others.
+    /// Returns whether the host watches the store for others.
     pub(super) fn watches_store(&self) -> bool {
         self.relay.role() == Role::Watcher
     }
 
-    /// Says whether the host asks the store by itself: it watches, or has not found out yet that others do.
+    /// Returns whether the host queries the store itself: it watches, or has not found out yet that others do.
     pub(super) fn queries_store(&self) -> bool {
         self.relay.role() != Role::Follower
     }
 
-    /// Notes what follows from a configuration that has come into force.
-    pub(super) fn note_config(&mut self) {
+    /// Updates what depends on the configuration, after a new one has come into force.
+    pub(super) fn on_config_changed(&mut self) {
         if let Some(config) = &self.config {
             let engines = config.services().filter(|service| service.engine.is_some());
             let pauses =
                 engines.map(|service| (service.name.clone(), config.pauses(&service.name)));
             self.pauses = pauses.collect();
         }
-        self.note_engines();
+        self.update_engines();
     }
 
-    /// Deals the servers to the groups, and has the book know the engines, after the servers, the groups or the configuration
-    /// have changed.
-    pub(super) fn note_engines(&mut self) {
+    /// Assigns the servers to groups and updates the engines in the load table, after the servers, the groups or the
+    /// configuration have changed.
+    pub(super) fn update_engines(&mut self) {
         self.groups.assign(self.directory.all());
         let Some(config) = &self.config else {
             return;
@@ -159,20 +159,20 @@
         self.loads.set_engines(engines.collect());
     }
 
-    /// Gives how long a server takes nothing of this host.
-    pub(super) fn closed_for(&self, server: Key, now: Time) -> Duration {
-        closed_for(&self.backoffs, &self.limits, server, now)
+    /// Returns for how long a server accepts nothing from this host.
+    pub(super) fn unavailable_for(&self, server: Key, now: Time) -> Duration {
+        unavailable_for(&self.backoffs, &self.limits, server, now)
     }
 
-    /// Gives how much longer entries of servers may be missing in the store although the servers live, in
-    /// milliseconds, as peers are told it.
+    /// Returns for how much longer entries may be missing in the store although their servers are alive, in
+    /// milliseconds, as sent to peers.
     pub(super) fn grace_ms(&self, now: Time) -> u32 {
-        let left = self.directory.grace_left(now).as_millis();
-        u32::try_from(left).unwrap_or(u32::MAX)
+        let grace = self.directory.grace_left(now).as_millis();
+        u32::try_from(grace).unwrap_or(u32::MAX)
     }
 
-    /// Takes a peer's word that entries of servers may be missing in the store for a while.
-    pub(super) fn take_grace(&mut self, grace_ms: u32) {
+    /// Applies a peer's report that entries of servers may be missing in the store for a while.
+    pub(super) fn apply_grace(&mut self, grace_ms: u32) {
         if grace_ms > 0 {
             let span = Duration::from_millis(u64::from(grace_ms));
             self.directory.extend_grace(clock::now() + span);
@@ -180,8 +180,8 @@
     }
 }
 
-/// Gives how long a server takes nothing of this host, by the rest that it wants and by its limit.
-pub(super) fn closed_for(
+/// Returns for how long a server accepts nothing from this host, because of a backoff or its limit.
+pub(super) fn unavailable_for(
     backoffs: &Backoffs<Key>,
     limits: &Limits,
     server: Key,
--- a/crates/alderglade-serve/src/node/statement.rs
+++ b/crates/alderglade-serve/src/node/statement.rs
@@ -1,4 +1,4 @@
-//! What servers say of themselves in their answers.
+//! What servers report about themselves in their answers.
 
 use super::Node;
 use crate::clock;
@@ -11,45 +11,46 @@
 use std::time::Duration;
 
 impl Node {
-    /// Takes what a server says of itself in the answer to something that was `sent` at a time.
+    /// Applies what a server reports about itself in the answer to something that was `sent` at a time.
     pub fn apply_statement(&self, server: &Server, statement: &Statement, sent: Time) {
         if statement.leaving {
-            self.hear_leaving(server);
+            self.observe_leaving(server);
         }
         if let Some(span) = statement.backoff {
-            self.hear_backoff(server, span);
+            self.observe_backoff(server, span);
         }
         if let Some(span) = statement.cold.filter(|span| !span.is_zero()) {
-            self.note_cold(&Cold {
+            self.record_cold(&Cold {
                 server: server.key(),
                 service: server.service.clone(),
                 span,
             });
         }
-        self.hear_limit(server, statement.rate, sent);
+        self.observe_limit(server, statement.rate, sent);
     }
 
-    /// Takes a server's own word that it leaves, which may come long before the store's: the store may be away.
-    fn hear_leaving(&self, server: &Server) {
-        let news = {
+    /// Records a server's own report that it leaves. It may come long before the store's report, because the store
+    /// may be unavailable.
+    fn observe_leaving(&self, server: &Server) {
+        let changed = {
             let mut state = self.state.borrow_mut();
             state.directory.mark_leaving(server.key(), clock::now())
         };
-        if news {
+        if changed {
             event::write(&Record::ServerLeaves {
                 server: server.id(),
             });
-            self.tell_servers();
+            self.on_servers_changed();
             self.loads_changed.notify_one();
         }
     }
 
-    fn hear_backoff(&self, server: &Server, span: Duration) {
-        let begins = {
+    fn observe_backoff(&self, server: &Server, span: Duration) {
+        let is_new = {
             let mut state = self.state.borrow_mut();
             state.backoffs.note(server.key(), span, clock::now())
         };
-        if begins {
+        if is_new {
             event::write(&Record::ServerBackoff {
                 server: server.id(),
                 for_ms: span.as_millis() as u64,
@@ -57,44 +58,44 @@
         }
     }
 
-    /// Takes what peers tell of servers' limits.
+    /// Applies the limits of servers that peers report.
     pub fn apply_limit_reports(&self, limits: &[LimitReport]) {
         let now = clock::now();
         for report in limits {
-            let news = self.state.borrow_mut().limits.apply_report(report, now);
-            if news {
-                self.note_limit(report.server);
+            let changed = self.state.borrow_mut().limits.apply_report(report, now);
+            if changed {
+                self.on_limit_changed(report.server);
             }
         }
     }
 
-    fn hear_limit(&self, server: &Server, rate: Option<Rate>, sent: Time) {
+    fn observe_limit(&self, server: &Server, rate: Option<Rate>, sent: Time) {
         let key = server.key();
-        let news = {
+        let changed = {
             let mut state = self.state.borrow_mut();
             state.limits.observe_limit(key, rate, sent, clock::now())
         };
-        if news {
+        if changed {
             self.loads_changed.notify_one();
-            self.note_limit(key);
+            self.on_limit_changed(key);
         }
     }
 
-    /// Takes up a limit that is new, where this host owns it, and writes what it is now.
-    fn note_limit(&self, server: Key) {
-        /// How long a host must have lived to own a limit that is new to it: else the limit may be old, and another host
-        /// its owner.
-        const LIVED: Duration = Duration::from_secs(3);
+    /// Takes ownership of a new limit if this host is its owner, and logs the limit.
+    fn on_limit_changed(&self, server: Key) {
+        /// Minimum uptime of a host that takes ownership of a limit that is new to it. With a shorter uptime, the
+        /// limit may be old and another host may be its owner.
+        const MIN_OWNER_UPTIME: Duration = Duration::from_secs(3);
         let now = clock::now();
-        let lived = now.since(self.began) >= LIVED;
-        if lived && self.limit_owner(server) == self.settings.host {
+        let long_running = now.since(self.started) >= MIN_OWNER_UPTIME;
+        if long_running && self.limit_owner(server) == self.settings.host {
             self.state.borrow_mut().limits.take_ownership(server, now);
         }
-        self.tell_limit(server);
+        self.log_limit(server);
     }
 
-    /// Writes what a server's limit is now.
-    fn tell_limit(&self, server: Key) {
+    /// Logs a server's current limit.
+    fn log_limit(&self, server: Key) {
         let state = self.state.borrow();
         if let Some(known) = state.directory.get(server) {
             event::write(&Record::ServerLimit {
--- a/crates/alderglade-serve/src/node/store.rs
+++ b/crates/alderglade-serve/src/node/store.rs
@@ -1,4 +1,4 @@
-//! What the store tells a host, and whether the store answers at all.
+//! Updates from the store, and whether the store answers at all.
 
 use super::{Host, Node, State};
 use crate::clock;
@@ -15,157 +15,161 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The store was away for so long that entries of servers may have lapsed: they go after three missed
-/// heartbeats of 1.2 s, the first of which may have been due at once.
-const LAPSED_AFTER: Duration = Duration::from_millis(2_000);
+/// After an outage of this length, entries of servers may have expired. They expire after three missed heartbeats of
+/// 1.2 s, and the first of these may have been due at once.
+const ENTRY_EXPIRY: Duration = Duration::from_millis(2_000);
 
-/// What the store has told.
+/// An update from the store.
 #[derive(Debug)]
 pub enum StoreEvent {
     /// A configuration.
     Config(Config),
-    /// A configuration that can't be read.
+    /// A configuration that can't be read, with the problem.
     ConfigUnreadable(String),
-    /// All backend servers.
+    /// The complete list of backend servers.
     Servers {
         /// The servers.
         all: Listing,
-        /// Where the store was when these were all.
+        /// The store's position at which the list is complete.
         position: Position,
     },
-    /// Changes of backend servers, oldest first; none where a watch has ended without any.
+    /// Changes of backend servers, oldest first. There are none if a watch ended without any.
     Changes {
         /// The changes.
         changes: Vec<Change>,
-        /// Where the store was when the first of them was new.
+        /// The store's position before the first change.
         after: Position,
-        /// Up to where these are all.
+        /// The store's position up to which the changes are complete.
         position: Position,
     },
-    /// An entry of hosts that can't be read.
+    /// An entry of a host that can't be read.
     HostUnreadable(Fault),
     /// An entry host, or its new address.
     Host(Host),
-    /// All entry hosts have been told.
+    /// The list of entry hosts is complete.
     HostsListed,
-    /// An entry host has left the store.
+    /// An entry host was removed from the store.
     HostGone(Name),
-    /// A request is sent to no server for so much longer.
+    /// A request is quarantined for the given remaining time.
     Quarantined(Fingerprint, Duration),
-    /// A request may be sent again.
+    /// A request is no longer quarantined.
     Released(Fingerprint),
-    /// All requests that a copy of the store says are sent to no server, with how much longer.
+    /// All requests that are quarantined according to a restored copy of the store, with their remaining time.
     QuarantineRestored(Vec<(Fingerprint, Duration)>),
-    /// All failure domains that are evacuated.
+    /// The complete set of evacuated failure domains.
     Evacuations {
         /// The failure domains.
         domains: BTreeSet<Name>,
-        /// Where the store was when these were all.
+        /// The store's position at which the set is complete.
         position: Position,
     },
-    /// How failure domains stand that have been evacuated, or no longer are.
+    /// Evacuations that began or ended.
     EvacuationChanges {
         /// The changes, oldest first.
         changes: Vec<evacuation::Change>,
-        /// Up to where these are all.
+        /// The store's position up to which the changes are complete.
         position: Position,
     },
-    /// What the store holds of the configuration was the newest at this time.
+    /// The store confirmed that its configuration was the newest at a time.
     Confirmed {
         /// The time.
         at: Time,
-        /// The version that it holds; `None` where that can't be read.
+        /// The version that the store holds; `None` if it can't be read.
         held: Option<u64>,
     },
-    /// The store gives no answer.
+    /// A call to the store failed, with the problem.
     Lost(String),
-    /// The store has answered a call.
+    /// The store answered a call.
     Answered,
 }
 
-/// Whether the store answers.
+/// Whether the store answers calls.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Contact {
-    /// Since when it doesn't.
+    /// Since when calls fail.
     lost_at: Option<Time>,
-    /// When it last did.
+    /// When a call last succeeded.
     answered: Time,
 }
 
 impl Contact {
-    /// Says whether the last call failed.
+    /// Returns whether the last call failed.
     pub fn is_lost(&self) -> bool {
         self.lost_at.is_some()
     }
 
-    /// Says whether the store answered within `span`, and no call has failed since.
+    /// Returns whether the store answered within `span` and no call has failed since.
     pub fn answered_within(&self, span: Duration, now: Time) -> bool {
         !self.is_lost() && now.since(self.answered) <= span
     }
 }
 
 impl Node {
-    /// Takes what the store has told.
-    pub fn apply_store_event(&self, news: StoreEvent) {
+    /// Applies an update from the store.
+    pub fn apply_store_event(&self, store_event: StoreEvent) {
         let now = clock::now();
-        match news {
-            StoreEvent::Config(config) => self.take_config(config),
-            StoreEvent::ConfigUnreadable(problem) => self.tell_config_fault(problem),
-            StoreEvent::Servers { all, position } => self.take_list(all, position, now),
+        match store_event {
+            StoreEvent::Config(config) => self.apply_config(config),
+            StoreEvent::ConfigUnreadable(problem) => self.report_config_fault(problem),
+            StoreEvent::Servers { all, position } => self.apply_listing(all, position, now),
             StoreEvent::Changes {
                 changes,
                 after,
                 position,
-            } => self.take_changes(after, &changes, position, now),
-            StoreEvent::HostUnreadable(fault) => self.host_faults(|faults| faults.note(&fault)),
+            } => self.apply_server_changes(after, &changes, position, now),
+            StoreEvent::HostUnreadable(fault) => {
+                self.update_host_faults(|faults| faults.note(&fault))
+            }
             StoreEvent::Host(host) => {
-                self.host_faults(|faults| faults.clear(&host.name));
-                self.tell_host(&host);
+                self.update_host_faults(|faults| faults.clear(&host.name));
+                self.publish_host(&host);
                 self.state.borrow_mut().hosts.insert(host);
             }
             StoreEvent::HostsListed => {
-                self.startup_sync.note_hosts();
+                self.startup_sync.record_hosts_listed();
                 self.regroup();
-                // The others hear of this host at once, and it of them.
+                // The other hosts learn of this host at once, and it learns of them.
                 self.loads_changed.notify_one();
             }
             StoreEvent::HostGone(name) => {
-                self.host_faults(|faults| faults.clear(&name));
+                self.update_host_faults(|faults| faults.clear(&name));
                 self.state.borrow_mut().hosts.remove(&name);
             }
-            StoreEvent::Quarantined(asked, left) => {
+            StoreEvent::Quarantined(fingerprint, left) => {
                 self.with_quarantine(|quarantine, now| {
-                    quarantine.apply_stored_bar(asked, left, now)
+                    quarantine.apply_stored_bar(fingerprint, left, now)
                 });
             }
-            StoreEvent::Released(asked) => {
-                self.with_quarantine(|quarantine, now| quarantine.apply_stored_release(asked, now));
+            StoreEvent::Released(fingerprint) => {
+                self.with_quarantine(|quarantine, now| {
+                    quarantine.apply_stored_release(fingerprint, now)
+                });
             }
             StoreEvent::QuarantineRestored(listed) => {
                 self.with_quarantine(|quarantine, now| quarantine.restore(&listed, now));
             }
             StoreEvent::Evacuations { domains, position } => {
-                self.take_evacuations(domains, position)
+                self.replace_evacuations(domains, position)
             }
             StoreEvent::EvacuationChanges { changes, position } => {
-                self.change_evacuations(&changes, position);
+                self.apply_evacuation_changes(&changes, position);
             }
-            StoreEvent::Confirmed { at, held } => self.confirm_config(at, held),
+            StoreEvent::Confirmed { at, held } => self.apply_confirmed(at, held),
             StoreEvent::Lost(problem) => self.store_lost(&problem),
             StoreEvent::Answered => self.store_answered(now),
         }
     }
 
-    /// Gives the configuration in force. A host that has just started waits for it and for the first list of
-    /// servers, but no longer than `patience`.
-    pub async fn wait_for_config(&self, patience: Duration) -> Option<Rc<Config>> {
+    /// Returns the configuration in force. A host that has just started waits for the configuration and for the first
+    /// list of servers, up to `max_wait`.
+    pub async fn wait_for_config(&self, max_wait: Duration) -> Option<Rc<Config>> {
         let known = async {
-            while !self.has_learnt() {
-                self.learnt.notified().await;
+            while !self.is_initialized() {
+                self.startup_progress.notified().await;
             }
         };
-        // In vain or not, what is known then counts.
-        let _ = clock::timeout(patience, known).await;
+        // After a timeout the state known by then is used.
+        let _ = clock::timeout(max_wait, known).await;
         let state = self.state.borrow();
         state
             .config
@@ -173,42 +177,47 @@
             .filter(|_| self.knows_evacuations(&state))
     }
 
-    /// Says whether the host has learnt what it needs to serve.
-    fn has_learnt(&self) -> bool {
+    /// Returns whether the host has received what it needs to serve.
+    fn is_initialized(&self) -> bool {
         let state = self.state.borrow();
         let known = state.config.is_some() && state.directory.is_listed();
-        known && self.knows_evacuations(&state) && self.startup_sync.is_over()
+        known && self.knows_evacuations(&state) && self.startup_sync.is_finished()
     }
 
-    /// Takes the whole list of backend servers, unless peers have told of later changes while it was on its way.
-    fn take_list(&self, all: Listing, position: Position, now: Time) {
+    /// Applies the complete list of backend servers, unless peers have sent later changes in the meantime.
+    fn apply_listing(&self, all: Listing, position: Position, now: Time) {
         let mut state = self.state.borrow_mut();
         if !state.directory.take_list(all, position, now) {
             return;
         }
         let restored = state.directory.take_restored();
         drop(state);
-        restored.iter().for_each(tell_restored);
-        self.learnt.notify_waiters();
-        self.tell_servers();
+        restored.iter().for_each(log_restored);
+        self.startup_progress.notify_waiters();
+        self.on_servers_changed();
     }
 
-    /// Takes changes of backend servers, unless peers have told of them while they were on their way, and has them passed
-    /// on.
-    fn take_changes(&self, after: Position, changes: &[Change], position: Position, now: Time) {
+    /// Applies changes of backend servers and publishes them, unless peers have sent them in the meantime.
+    fn apply_server_changes(
+        &self,
+        after: Position,
+        changes: &[Change],
+        position: Position,
+        now: Time,
+    ) {
         let mut state = self.state.borrow_mut();
-        let taken = state.directory.apply_changes(after, changes, position, now);
+        let applied = state.directory.apply_changes(after, changes, position, now);
         drop(state);
-        if !taken || changes.is_empty() {
+        if !applied || changes.is_empty() {
             return;
         }
-        self.tell_servers();
-        self.tell_changes(after, position, changes);
+        self.on_servers_changed();
+        self.publish_server_changes(after, position, changes);
         self.loads_changed.notify_one();
     }
 
-    /// Takes a configuration, unless one as new is in force.
-    pub(super) fn take_config(&self, config: Config) {
+    /// Applies a configuration, unless the one in force is at least as new.
+    pub(super) fn apply_config(&self, config: Config) {
         let mut state = self.state.borrow_mut();
         state.config_fault = None;
         let old = state.config.clone();
@@ -219,22 +228,23 @@
         let version = config.version;
         let config = Rc::new(config);
         state.config = Some(config.clone());
-        state.note_config();
+        state.on_config_changed();
         drop(state);
-        self.take_cold();
+        self.apply_listed_cold();
         if let Some(old) = old {
-            self.tell_config(&old, &config);
+            self.publish_config_patch(&old, &config);
         }
         self.metrics.config.set(version.cast_signed());
-        self.learnt.notify_waiters();
-        // Peers that go by this host's word learn at once that there is a newer one.
+        self.startup_progress.notify_waiters();
+        // Peers that rely on this host's status learn of the newer version at once.
         self.loads_changed.notify_one();
         event::write(&Record::ConfigInForce { version, before });
     }
 
-    /// Takes that the store has confirmed what it holds of the configuration. Where that is older than the one in force,
-    /// the store has come back from a copy, and says nothing of keys that were taken away.
-    fn confirm_config(&self, at: Time, held: Option<u64>) {
+    /// Records that the store has confirmed the version of the configuration that it holds. If that is older than the
+    /// one in force, the store was restored from a copy. The confirmation then says nothing about keys that were
+    /// revoked.
+    fn apply_confirmed(&self, at: Time, held: Option<u64>) {
         let mut state = self.state.borrow_mut();
         let in_force = state.config_version();
         if held.is_none_or(|held| held >= in_force) {
@@ -242,13 +252,14 @@
         }
     }
 
-    /// Forgets the records of servers that are gone and writes how many there are, and which have started again.
-    pub(super) fn tell_servers(&self) {
-        self.tell_restarts();
-        self.take_cold();
-        self.tell_server_faults();
+    /// Updates everything that depends on the set of servers, drops the state of removed servers, and logs the number
+    /// of servers.
+    pub(super) fn on_servers_changed(&self) {
+        self.handle_restarts();
+        self.apply_listed_cold();
+        self.report_server_faults();
         let mut state = self.state.borrow_mut();
-        state.note_engines();
+        state.update_engines();
         let State {
             directory,
             health,
@@ -263,7 +274,7 @@
         event::write(&Record::ServersChanged { known, leaving });
     }
 
-    /// Notes that a call to the store failed; tells it of the first.
+    /// Records that a call to the store failed; logs the first failure.
     fn store_lost(&self, problem: &str) {
         let contact = self.store.get();
         if contact.lost_at.is_some() {
@@ -277,7 +288,7 @@
         event::write(&Record::StoreLost { problem });
     }
 
-    /// Notes that the store answered; where it was away, wakes what waits for it.
+    /// Records that the store answered. After an outage, wakes the tasks that wait for the store.
     fn store_answered(&self, now: Time) {
         let Contact { lost_at, answered } = self.store.get();
         self.store.set(Contact {
@@ -287,19 +298,19 @@
         if lost_at.is_none() {
             return;
         }
-        let away = now.since(answered);
+        let outage = now.since(answered);
         let mut state = self.state.borrow_mut();
-        state.directory.store_returned(now, away >= LAPSED_AFTER);
+        state.directory.store_returned(now, outage >= ENTRY_EXPIRY);
         drop(state);
         event::write(&Record::StoreBack {
-            age_ms: away.as_millis() as u64,
+            age_ms: outage.as_millis() as u64,
         });
         self.ask_store.notify_waiters();
     }
 }
 
-/// Writes what the first list of a new era has shown.
-fn tell_restored(restored: &Restored) {
+/// Logs what the first list of a new era has shown.
+fn log_restored(restored: &Restored) {
     event::write(&Record::ServersRestored {
         era: restored.position.era,
         revision: restored.position.revision,
--- a/crates/alderglade-serve/src/peer.rs
+++ b/crates/alderglade-serve/src/peer.rs
@@ -1,12 +1,12 @@
-//! Messages between entry hosts, over UDP: who holds what at which server, and what the store has told; and copies of what is too
-//! large for them, over TCP on the same port.
+//! Messages between entry hosts, over UDP: the reservations at servers, and updates from the store. What is too large
+//! for a message is copied over TCP on the same port.
 //!
-//! A message that is lost is made good by a later one, so nothing is acknowledged or sent again.
+//! A later message makes up for one that was lost, so there are no acknowledgements and no retransmissions.
 
 mod copy;
-mod hear;
+mod receive;
+mod send;
 mod startup_sync;
-mod tell;
 
 pub use copy::serve as serve_copies;
 
@@ -20,51 +20,51 @@
 use tokio::net::UdpSocket;
 use tokio::time::MissedTickBehavior;
 
-/// How long changes are collected before they are told; a fraction of the way between hosts.
-const COLLECT: Duration = Duration::from_millis(1);
+/// How long changes are collected before they are sent; a fraction of the latency between hosts.
+const BATCH_DELAY: Duration = Duration::from_millis(1);
 
-/// Sends and takes messages until the process ends.
+/// Sends and receives messages until the process ends.
 pub async fn run(node: Rc<Node>, socket: UdpSocket) {
     let socket = Rc::new(socket);
-    let teller = tell::Teller::new(node.clone(), socket.clone());
-    tokio::task::spawn_local(hear::run(node.clone(), socket));
-    tokio::task::spawn_local(tell_changes(node.clone(), teller.clone()));
-    tokio::task::spawn_local(send_letters(node.clone(), teller.clone()));
+    let sender = send::PeerSender::new(node.clone(), socket.clone());
+    tokio::task::spawn_local(receive::run(node.clone(), socket));
+    tokio::task::spawn_local(send_changes(node.clone(), sender.clone()));
+    tokio::task::spawn_local(send_envelopes(node.clone(), sender.clone()));
     tokio::task::spawn_local(startup_sync::run(node.clone()));
     let mut suspension = Suspension::default();
-    let mut beat = tokio::time::interval(heartbeat::MIN_INTERVAL);
-    beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    for number in 0u64.. {
-        beat.tick().await;
+    let mut interval = tokio::time::interval(heartbeat::MIN_INTERVAL);
+    interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    for beat in 0u64.. {
+        interval.tick().await;
         clock::watch(&mut suspension);
         node.tick();
         if let Some(source) = node.config_source() {
-            tokio::task::spawn_local(copy::take_config(node.clone(), source));
+            tokio::task::spawn_local(copy::copy_config(node.clone(), source));
         }
-        teller.heartbeat().await;
-        teller.ask(number).await;
+        sender.heartbeat().await;
+        sender.request_confirmations(beat).await;
     }
 }
 
-/// Tells peers what has changed as soon as it has, but for the time in which changes are collected.
-async fn tell_changes(node: Rc<Node>, teller: tell::Teller) {
+/// Sends changes to peers as they occur, after a short delay in which changes are collected.
+async fn send_changes(node: Rc<Node>, sender: send::PeerSender) {
     loop {
         node.loads_changed.notified().await;
-        tokio::time::sleep(COLLECT).await;
-        teller.changes().await;
-        teller.outbox().await;
+        tokio::time::sleep(BATCH_DELAY).await;
+        sender.send_changes().await;
+        sender.send_outbox().await;
     }
 }
 
-/// Sends messages to single hosts as soon as they are written.
-async fn send_letters(node: Rc<Node>, teller: tell::Teller) {
+/// Sends messages to single hosts as soon as they are queued.
+async fn send_envelopes(node: Rc<Node>, sender: send::PeerSender) {
     loop {
         node.envelopes_queued.notified().await;
-        teller.envelopes().await;
+        sender.send_envelopes().await;
     }
 }
 
-/// Tells operators that a message can't be written or read.
-fn tell_fault(problem: &str) {
+/// Logs that a message can't be encoded or decoded.
+fn log_fault(problem: &str) {
     event::write(&Record::PeerFault { problem });
 }
--- a/crates/alderglade-serve/src/peer/copy.rs
+++ b/crates/alderglade-serve/src/peer/copy.rs
@@ -1,4 +1,4 @@
-//! What is too large for a datagram, from host to host over HTTP, on the port of the datagrams.
+//! Copies what is too large for a datagram from host to host over HTTP, on the same port as the datagrams.
 
 use crate::client;
 use crate::clock;
@@ -14,17 +14,18 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Where the configuration in force is given.
-const CONFIGURATION: &str = "/configuration";
-/// How long another host may take to give it: some hundred KB over a link of 20 Mbit/s that others use too.
-const LIMIT: Duration = Duration::from_millis(2_000);
+/// The path of the configuration in force.
+const CONFIGURATION_PATH: &str = "/configuration";
+/// How long another host may take to send the configuration: some hundred KB over a link of 20 Mbit/s that others use
+/// too.
+const COPY_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Why another host gave nothing.
+/// Why no configuration was copied from another host.
 #[derive(Debug, Snafu)]
 enum Error {
     #[snafu(display("the call can't be made"))]
     Call { source: http::Error },
-    #[snafu(display("no answer in {} ms", LIMIT.as_millis()))]
+    #[snafu(display("no answer in {} ms", COPY_TIMEOUT.as_millis()))]
     Silent,
     #[snafu(display("it can't be reached"))]
     Contact { source: client::Error },
@@ -34,15 +35,15 @@
     Unreadable { source: postcard::Error },
 }
 
-/// Gives other hosts what they ask for, until the process ends.
+/// Serves other hosts' copy requests until the process ends.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     listen::simple(listener, move |request| {
         let config = node.config_in_force();
-        match config.filter(|_| request.uri().path() == CONFIGURATION) {
+        match config.filter(|_| request.uri().path() == CONFIGURATION_PATH) {
             Some(config) => match postcard::to_stdvec(&*config) {
                 Ok(bytes) => listen::plain(StatusCode::OK, bytes),
                 Err(error) => {
-                    super::tell_fault(&error.to_string());
+                    super::log_fault(&error.to_string());
                     listen::plain(StatusCode::INTERNAL_SERVER_ERROR, Vec::new())
                 }
             },
@@ -52,16 +53,16 @@
     .await;
 }
 
-/// Takes the configuration of another host, if it is newer.
-pub(super) async fn take_config(node: Rc<Node>, from: SocketAddr) {
+/// Copies the configuration of another host and applies it if it is newer.
+pub(super) async fn copy_config(node: Rc<Node>, from: SocketAddr) {
     match fetch_config(&node, from).await {
-        Ok(config) => node.take_copy(config, from),
-        Err(error) => super::tell_fault(&format!("{from}: {error}")),
+        Ok(config) => node.apply_copied_config(config, from),
+        Err(error) => super::log_fault(&format!("{from}: {error}")),
     }
 }
 
 async fn fetch_config(node: &Node, from: SocketAddr) -> Result<Config, Error> {
-    let request = Request::get(CONFIGURATION)
+    let request = Request::get(CONFIGURATION_PATH)
         .header(http::header::HOST, from.to_string())
         .body(Full::new(Bytes::new()))
         .context(CallSnafu)?;
@@ -69,7 +70,7 @@
         let exchange = node.client.send(from, request, true).await?;
         exchange.collect().await
     };
-    let Ok(answer) = clock::timeout(LIMIT, exchange).await else {
+    let Ok(answer) = clock::timeout(COPY_TIMEOUT, exchange).await else {
         return SilentSnafu.fail();
     };
     let answer = answer.context(ContactSnafu)?;
--- a/crates/alderglade-serve/src/peer/tell.rs
+++ b/crates/alderglade-serve/src/peer/send.rs
@@ -1,6 +1,6 @@
 //! Sends messages to other entry hosts.
 
-use super::tell_fault;
+use super::log_fault;
 use crate::clock;
 use crate::node::{Node, Recipients};
 use alderglade_core::fleet::heartbeat::{Due, Schedule};
@@ -11,26 +11,27 @@
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 
-/// Holdings in one notice, some 28 bytes each: with the rest of a notice well below the usual size of a packet.
-const HOLDINGS: usize = 24;
+/// Holdings in one notice, some 28 bytes each. With the rest of the notice they stay well below the usual size of a
+/// packet.
+const HOLDINGS_PER_NOTICE: usize = 24;
 
 /// Sends this host's messages.
 #[derive(Clone)]
-pub(super) struct Teller {
+pub(super) struct PeerSender {
     node: Rc<Node>,
     socket: Rc<UdpSocket>,
-    /// The number of the last notice.
+    /// The sequence number of the last notice.
     sequence: Rc<Cell<u64>>,
-    /// Heartbeats so far.
+    /// The number of heartbeats so far.
     beat: Rc<Cell<u64>>,
-    /// When hosts were last told something.
+    /// When notices were last sent.
     schedule: Rc<RefCell<Schedule>>,
 }
 
-impl Teller {
-    /// Makes the sender of a socket; nothing is sent yet.
-    pub(super) fn new(node: Rc<Node>, socket: Rc<UdpSocket>) -> Teller {
-        Teller {
+impl PeerSender {
+    /// Creates the sender of a socket; nothing is sent yet.
+    pub(super) fn new(node: Rc<Node>, socket: Rc<UdpSocket>) -> PeerSender {
+        PeerSender {
             node,
             socket,
             sequence: Rc::default(),
@@ -39,35 +40,35 @@
         }
     }
 
-    /// Tells other hosts what a heartbeat should, if one is due.
+    /// Sends the notices of a heartbeat, if one is due.
     pub(super) async fn heartbeat(&self) {
         let interval = self.node.heartbeat();
         let due = self.schedule.borrow().due(interval, clock::now());
         self.beat.set(self.beat.get() + u64::from(due.is_some()));
         match due {
-            Some(Due::Whole) => self.whole().await,
-            Some(Due::Changes) => self.changes().await,
+            Some(Due::Whole) => self.send_full().await,
+            Some(Due::Changes) => self.send_changes().await,
             None => {}
         }
     }
 
-    /// Tells other hosts all that this one holds.
-    async fn whole(&self) {
+    /// Sends all of this host's holdings to other hosts.
+    async fn send_full(&self) {
         let now = clock::now();
         self.schedule.borrow_mut().note(Due::Whole, now);
         let holdings = self.node.state.borrow().loads.all_holdings(now);
-        self.notices(holdings, true).await;
+        self.send_notices(holdings, true).await;
     }
 
-    /// Tells other hosts what has changed.
-    pub(super) async fn changes(&self) {
+    /// Sends the changes since the last notice to other hosts.
+    pub(super) async fn send_changes(&self) {
         self.schedule.borrow_mut().note(Due::Changes, clock::now());
         let holdings = self.node.state.borrow_mut().loads.take_changes();
-        self.notices(holdings, false).await;
+        self.send_notices(holdings, false).await;
     }
 
-    /// Asks for the age of the watchers' word, where this host goes by it.
-    pub(super) async fn ask(&self, beat: u64) {
+    /// Asks watchers for the age of their state of the store, if this host relies on it.
+    pub(super) async fn request_confirmations(&self, beat: u64) {
         let hosts = self.node.confirmation_targets(beat);
         if hosts.is_empty() {
             return;
@@ -80,53 +81,55 @@
         .await;
     }
 
-    /// Sends what is meant for single hosts.
-    pub(super) async fn envelopes(&self) {
+    /// Sends the queued messages for single hosts.
+    pub(super) async fn send_envelopes(&self) {
         for envelope in self.node.take_envelopes() {
             self.send(&envelope.message, &[envelope.to]).await;
         }
     }
 
-    /// Passes on to the hosts of the own failure domain what the store has told.
-    pub(super) async fn outbox(&self) {
+    /// Forwards updates from the store to the hosts of the own failure domain.
+    pub(super) async fn send_outbox(&self) {
         let outbox = self.node.take_outbox();
         if outbox.is_empty() {
             return;
         }
-        let near = self.node.same_domain_hosts();
+        let same_domain = self.node.same_domain_hosts();
         let gateways = self.node.domain_gateways(self.beat.get());
         for update in outbox {
-            self.send(&Message::StoreUpdate(update.clone()), &near)
+            self.send(&Message::StoreUpdate(update.clone()), &same_domain)
                 .await;
             self.send(&Message::StoreUpdateToForward(update), &gateways)
                 .await;
         }
     }
 
-    /// Tells the hosts of the group some holdings, in as many notices as they take, or in one where there are none; and those of
-    /// other groups what concerns them.
-    async fn notices(&self, holdings: Vec<Holding>, whole: bool) {
-        let mut chunks: Vec<Vec<Holding>> =
-            holdings.chunks(HOLDINGS).map(<[Holding]>::to_vec).collect();
+    /// Sends holdings to the hosts of the group, in as many notices as they need, or in one without any. Sends hosts
+    /// of other groups the parts that concern them.
+    async fn send_notices(&self, holdings: Vec<Holding>, full: bool) {
+        let mut chunks: Vec<Vec<Holding>> = holdings
+            .chunks(HOLDINGS_PER_NOTICE)
+            .map(<[Holding]>::to_vec)
+            .collect();
         if chunks.is_empty() {
             chunks.push(Vec::new());
         }
-        let Recipients { direct, through } = self.node.recipients(self.beat.get());
+        let Recipients { direct, forwarders } = self.node.recipients(self.beat.get());
         for (number, holdings) in chunks.into_iter().enumerate() {
-            let notice = self.notice(holdings, whole && number == 0);
+            let notice = self.next_notice(holdings, full && number == 0);
             let others = self.node.notice_for_others(&notice, self.beat.get());
             if let Some((notice, gateways)) = others {
                 self.send(&Message::NoticeToForward(notice), &gateways)
                     .await;
             }
-            let spread = Message::NoticeToForward(notice.clone());
+            let to_forward = Message::NoticeToForward(notice.clone());
             self.send(&Message::Notice(notice), &direct).await;
-            self.send(&spread, &through).await;
+            self.send(&to_forward, &forwarders).await;
         }
     }
 
-    /// Makes the next notice.
-    fn notice(&self, holdings: Vec<Holding>, whole: bool) -> Notice {
+    /// Creates the next notice.
+    fn next_notice(&self, holdings: Vec<Holding>, full: bool) -> Notice {
         self.sequence.set(self.sequence.get() + 1);
         let status = self.node.store_status();
         let interval = self.node.heartbeat();
@@ -137,14 +140,14 @@
             incarnation: self.node.incarnation.get(),
             sequence: self.sequence.get(),
             interval_ms: u32::try_from(interval.as_millis()).unwrap_or(u32::MAX),
-            full: whole,
+            full,
             multi_engine_prompts: state.loads.own_multi_engine_prompts(),
             waiting: state.loads.waiting(clock::now()),
             store: status,
-            leaving: self.node.shared_leavers(state),
+            leaving: self.node.leaving_group_servers(state),
             ejections: state.health.ejections_to_report(clock::now()),
             unanswered: state.health.unanswered_to_report(clock::now()),
-            quarantine: state.quarantine.findings_to_report(whole, clock::now()),
+            quarantine: state.quarantine.findings_to_report(full, clock::now()),
             limits: state.limits.reports(clock::now()),
             cold: state.limits.cold_reports(clock::now()),
             evacuations: state.evacuations.snapshot(clock::now()),
@@ -157,16 +160,17 @@
     }
 }
 
-/// Sends a message to each of some hosts, in one datagram.
+/// Sends a message to each of `hosts`, in one datagram.
 pub(super) async fn send(socket: &UdpSocket, message: &Message, hosts: &[SocketAddr]) {
     let bytes = match postcard::to_stdvec(message) {
         Ok(bytes) => bytes,
-        Err(error) => return tell_fault(&error.to_string()),
+        Err(error) => return log_fault(&error.to_string()),
     };
     for host in hosts {
         if let Err(error) = socket.send_to(&bytes, host).await {
-            // A host that is gone refuses; its entry in the store is replaced or removed.
-            log::debug!("message to {host}: {error}");
+            // The address of a host that is gone refuses messages; its entry in the store will be replaced or
+            // removed.
+            log::debug!("sending a message to {host} failed: {error}");
         }
     }
 }
