--- a/crates/alderglade-serve/src/node.rs
+++ b/crates/alderglade-serve/src/node.rs
@@ -57,7 +57,7 @@
 use std::sync::Arc;
 use tokio::sync::{Notify, watch};
 
-/// The host's memory divided by this is reserved for callers and servers that read slowly, in addition to what each
+/// One tenth of the host's memory is reserved for callers and servers that read slowly, in addition to what each
 /// connection uses by itself. Two thousand connections use most of the smallest host's memory.
 const BUFFER_MEMORY_DIVISOR: usize = 10;
 
@@ -81,7 +81,7 @@
     /// When the process started.
     started: Time,
     /// Whether the store answers.
-    store: Cell<store::Contact>,
+    store_contact: Cell<store::Contact>,
     /// A moving average of how much the engines have to read.
     pressure: Cell<choice::Pressure>,
     /// Wakes the task that sends changes to peers.
@@ -139,7 +139,7 @@
             metrics: Metrics::new()?,
             ask_store: Notify::new(),
             started: clock::now(),
-            store: Cell::default(),
+            store_contact: Cell::default(),
             pressure: Cell::default(),
             loads_changed: Notify::new(),
             startup_progress: Notify::new(),
--- a/crates/alderglade-serve/src/node/catch_up.rs
+++ b/crates/alderglade-serve/src/node/catch_up.rs
@@ -40,10 +40,10 @@
             return None;
         }
         self.behind_since.set(Some(now));
-        let same_domain = sources.iter().any(|source| source.same_domain);
+        let any_same_domain = sources.iter().any(|source| source.same_domain);
         let preferred = sources
             .iter()
-            .filter(|source| source.same_domain == same_domain);
+            .filter(|source| source.same_domain == any_same_domain);
         preferred
             .choose(&mut rand::rng())
             .map(|source| source.address)
--- a/crates/alderglade-serve/src/node/connectivity.rs
+++ b/crates/alderglade-serve/src/node/connectivity.rs
@@ -28,7 +28,7 @@
         let domain = &self.settings.domain;
         let mut live = state.loads.live_hosts(domain, now);
         Observation {
-            call_failed: self.store.get().is_lost(),
+            call_failed: self.store_contact.get().is_lost(),
             informed: state.queries_store() || live.any(|host| host.store.in_contact),
             isolated: state.loads.is_isolated(domain, now),
             confirmed: state.freshness.confirmed(),
--- a/crates/alderglade-serve/src/node/era.rs
+++ b/crates/alderglade-serve/src/node/era.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Eras {
     /// The latest era that the store has reported; `0` if it has reported none.
-    known: Cell<u64>,
+    from_store: Cell<u64>,
     /// The latest era that other hosts have reported.
     from_peers: Cell<u64>,
     /// Wakes the tasks that wait for a later era.
@@ -22,17 +22,17 @@
 impl Node {
     /// Returns the latest era that the store has reported; `0` if it has reported none.
     pub fn era(&self) -> u64 {
-        self.eras.known.get()
+        self.eras.from_store.get()
     }
 
     /// Records the era of an answer of the store. Returns the latest era, which is later than that of a delayed
     /// answer.
     pub fn record_era(&self, era: u64) -> u64 {
-        let known = self.eras.known.get();
+        let known = self.eras.from_store.get();
         if era <= known {
             return known;
         }
-        self.eras.known.set(era);
+        self.eras.from_store.set(era);
         self.metrics.store_era.set(era.cast_signed());
         if known > 0 {
             event::write(&Record::StoreRestored {
@@ -58,7 +58,7 @@
     pub async fn wait_for_era_after(&self, era: u64) -> u64 {
         loop {
             let advanced = self.eras.advanced.notified();
-            let latest = self.eras.known.get().max(self.eras.from_peers.get());
+            let latest = self.eras.from_store.get().max(self.eras.from_peers.get());
             if latest > era {
                 return latest;
             }
--- a/crates/alderglade-serve/src/node/outbox.rs
+++ b/crates/alderglade-serve/src/node/outbox.rs
@@ -67,9 +67,9 @@
         let length = postcard::to_stdvec(&update).map(|bytes| bytes.len());
         match length {
             Ok(length) if length <= MAX_UPDATE_BYTES => self.state.borrow_mut().outbox.push(update),
-            Ok(length) => log::debug!(
-                "not forwarding an update of {length} bytes: it exceeds the packet size; hosts query the store instead"
-            ),
+            Ok(length) => {
+                log::debug!("an update of {length} bytes exceeds a packet; hosts query the store")
+            }
             Err(error) => log::warn!("cannot encode an update: {error}"),
         }
     }
--- a/crates/alderglade-serve/src/node/quarantine.rs
+++ b/crates/alderglade-serve/src/node/quarantine.rs
@@ -120,13 +120,13 @@
         let watches_store = state.watches_store();
         drop(state);
         verdicts.iter().for_each(log_verdict);
-        let is_stored = |verdict: &Verdict| {
+        let should_store = |verdict: &Verdict| {
             // The hosts that watch the store remove expired entries from it.
             verdict.first_hand || (watches_store && verdict.decision == Decision::Released)
         };
         self.verdicts
             .borrow_mut()
-            .extend(verdicts.into_iter().filter(is_stored));
+            .extend(verdicts.into_iter().filter(should_store));
         self.verdicts_ready.notify_one();
         self.loads_changed.notify_one();
     }
--- a/crates/alderglade-serve/src/node/relay.rs
+++ b/crates/alderglade-serve/src/node/relay.rs
@@ -84,7 +84,7 @@
             servers: state.directory.digest(),
             age: state.freshness.age(now),
             bound: self.settings.revocation,
-            lost: self.store.get().is_lost(),
+            lost: self.store_contact.get().is_lost(),
             listed: self.startup_sync.knows_hosts(),
         }
     }
@@ -101,7 +101,10 @@
         let state = self.state.borrow();
         StoreStatus {
             in_contact: state.watches_store()
-                && self.store.get().answered_within(CONTACT_TIMEOUT, now),
+                && self
+                    .store_contact
+                    .get()
+                    .answered_within(CONTACT_TIMEOUT, now),
             config: state.config_version(),
             servers: state.directory.digest(),
             era: self.era(),
@@ -111,11 +114,11 @@
     }
 
     /// Returns the hosts to ask for a confirmation at a heartbeat: one of them now and then; every watcher if this
-    /// host's state is too old or the store doesn't answer it.
+    /// host's copy is too old or the store doesn't answer it.
     pub fn confirmation_targets(&self, beat: u64) -> Vec<SocketAddr> {
         let now = clock::now();
         let state = self.state.borrow();
-        let lost = self.store.get().is_lost();
+        let lost = self.store_contact.get().is_lost();
         if state.queries_store() && !lost {
             return Vec::new();
         }
--- a/crates/alderglade-serve/src/node/state.rs
+++ b/crates/alderglade-serve/src/node/state.rs
@@ -39,7 +39,7 @@
     pub evacuations: Evacuations,
     /// The reservations of every host at every server.
     pub loads: LoadTable,
-    /// The pauses that callers tolerate between the events of an answer, by service of engines.
+    /// The pauses between events that the routes to each service of engines allow.
     pub(super) pauses: HashMap<Name, Pauses>,
     /// The health of servers.
     pub health: Health,
@@ -49,7 +49,7 @@
     pub(super) backoffs: Backoffs<Key>,
     /// Rate limits of servers over all hosts: limits that servers have reported, and those of cold servers.
     pub limits: Limits,
-    /// The age of the store's state as known here.
+    /// The age of this host's copy of the store's state.
     pub freshness: Freshness,
     /// Whether the store can be reached.
     pub(super) connectivity: Connectivity,
--- a/crates/alderglade-serve/src/node/stop.rs
+++ b/crates/alderglade-serve/src/node/stop.rs
@@ -8,7 +8,7 @@
 
 /// How long after the stop request the host still accepts requests: until the load balancer, which probes every
 /// second and needs two failures, has noticed. This is 300 ms less than the three seconds after which a request that
-/// was sent may no longer be aborted by the host's end, because the host may notice the stop request late.
+/// was sent may no longer be cut off by the host's end, because the host may notice the stop request late.
 const ACCEPT_TIME: Duration = Duration::from_millis(2_700);
 /// The host accepts requests for at most one half of the grace period; answers need the other half.
 const ACCEPT_TIME_DIVISOR: u32 = 2;
@@ -141,8 +141,8 @@
 
     /// Waits until the host has been stopping for `span`.
     async fn wait_until_stopping_for(&self, span: Duration) {
-        let mut since = self.stopping_since.subscribe();
-        let stopping_since = match since.wait_for(Option::is_some).await {
+        let mut receiver = self.stopping_since.subscribe();
+        let stopping_since = match receiver.wait_for(Option::is_some).await {
             Ok(stopping_since) => *stopping_since,
             // The sender lives as long as the host itself.
             Err(_) => None,
--- a/crates/alderglade-serve/src/node/store.rs
+++ b/crates/alderglade-serve/src/node/store.rs
@@ -276,11 +276,11 @@
 
     /// Records that a call to the store failed; logs the first failure.
     fn store_lost(&self, problem: &str) {
-        let contact = self.store.get();
+        let contact = self.store_contact.get();
         if contact.lost_at.is_some() {
             return;
         }
-        self.store.set(Contact {
+        self.store_contact.set(Contact {
             lost_at: Some(clock::now()),
             ..contact
         });
@@ -290,8 +290,8 @@
 
     /// Records that the store answered. After an outage, wakes the tasks that wait for the store.
     fn store_answered(&self, now: Time) {
-        let Contact { lost_at, answered } = self.store.get();
-        self.store.set(Contact {
+        let Contact { lost_at, answered } = self.store_contact.get();
+        self.store_contact.set(Contact {
             lost_at: None,
             answered: now,
         });
--- a/crates/alderglade-serve/src/peer/receive.rs
+++ b/crates/alderglade-serve/src/peer/receive.rs
@@ -133,7 +133,7 @@
     send::send(socket, &message, &[sender]).await;
 }
 
-/// Sends a peer the age of this host's state of the store, if this host has a configuration.
+/// Sends a peer the age of this host's copy of the store's state, if this host has a configuration.
 async fn answer_confirmation_request(
     node: &Node,
     socket: &UdpSocket,
--- a/crates/alderglade-serve/src/peer/send.rs
+++ b/crates/alderglade-serve/src/peer/send.rs
@@ -67,7 +67,7 @@
         self.send_notices(holdings, false).await;
     }
 
-    /// Asks watchers for the age of their state of the store, if this host relies on it.
+    /// Asks watchers for the age of their copy of the store's state, if this host relies on it.
     pub(super) async fn request_confirmations(&self, beat: u64) {
         let hosts = self.node.confirmation_targets(beat);
         if hosts.is_empty() {
@@ -160,7 +160,7 @@
     }
 }
 
-/// Sends a message to each of `hosts`, in one datagram.
+/// Sends a message to each of `hosts`, as one datagram.
 pub(super) async fn send(socket: &UdpSocket, message: &Message, hosts: &[SocketAddr]) {
     let bytes = match postcard::to_stdvec(message) {
         Ok(bytes) => bytes,
