--- a/crates/alderglade-core/src/fleet/backoff.rs
+++ b/crates/alderglade-core/src/fleet/backoff.rs
@@ -1,13 +1,15 @@
-//! Whom this host asks nothing for a while: backend servers that want nothing more from it, hosts that gave no answer.
+//! Peers to which this host sends nothing for a while: backend servers that asked for it, and hosts that gave no
+//! answer.
 //!
-//! What a server says so concerns the host that it answers, and no other; another answer in between doesn't take it back.
+//! A server's request to back off concerns only the host that it answers. Other answers of the server in between
+//! don't revoke it.
 
 use crate::time::Time;
 use std::collections::HashMap;
 use std::hash::Hash;
 use std::time::Duration;
 
-/// Until when nothing is asked of some.
+/// The end of the backoff of each peer.
 #[derive(Debug)]
 pub struct Backoffs<K> {
     until: HashMap<K, Time>,
@@ -22,7 +24,7 @@
 }
 
 impl<K: Hash + Eq> Backoffs<K> {
-    /// Notes that one is asked nothing for a span; says whether it was open before.
+    /// Starts or extends a peer's backoff. Returns whether the peer had none before.
     pub fn note(&mut self, who: K, span: Duration, now: Time) -> bool {
         self.until.retain(|_, until| *until > now);
         let until = self.until.entry(who).or_insert(now);
@@ -31,7 +33,7 @@
         was_open
     }
 
-    /// Gives how long one is still asked nothing.
+    /// Returns how much longer a peer's backoff lasts, or zero if it has none.
     pub fn left(&self, who: &K, now: Time) -> Duration {
         let until = self.until.get(who);
         until.map_or(Duration::ZERO, |until| until.left(now))
--- a/crates/alderglade-core/src/fleet/budget.rs
+++ b/crates/alderglade-core/src/fleet/budget.rs
@@ -1,41 +1,42 @@
-//! One budget of repeated sends for all hosts together, kept without a common place.
+//! One retry budget that all hosts share without central state.
 //!
-//! In any window a service may get, beyond the first send of each request, at most a share of the requests plus a slack.
-//! Each host owns an equal part of the slack and the share of its own requests; hosts that aren't heard of still count
-//! for a while, so that the sum stays within the bound when the view of the others is wrong.
+//! In any window, a service may receive retries for at most a share of the requests plus a slack.
+//! Each host owns an equal part of the slack and the share of its own requests. Hosts that are no longer heard still
+//! count for a while, so that the sum stays within the bound when a host's view of the others is wrong.
 //!
-//! Among hundreds of hosts a part is a repeat or two, while failures come where they come. A host that has used up its
-//! own asks others, which lend what they don't need: what is lent counts as spent at the lender from then on, whether it
-//! arrives or not, and must be used at once. So the sum stays within the bound however messages are lost, late or
-//! doubled, and nobody has to agree on anything.
+//! Among hundreds of hosts a part is a retry or two, while failures concentrate on a few hosts. A host that has used
+//! up its own part asks others, which lend what they don't need. A loan counts as spent at the lender from then on,
+//! whether it arrives or not, and must be used at once. So the sum stays within the bound even if messages are lost,
+//! late or duplicated, and the hosts need no consensus.
 
 use crate::time::Time;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// One repeated send, in the unit in which parts are counted and lent.
+/// Units in which parts of the budget are counted and lent, per retry.
 pub const UNITS_PER_RETRY: u32 = 1_000;
-/// How long what is lent may be used, from when it was asked for. Loans are asked for when they are needed; a failure
-/// seldom comes alone, so that a rest finds its use.
+/// How long a loan may be used, counted from its request. Loans are requested when they are needed. Failures seldom
+/// come alone, so that a remainder is used soon, too.
 pub const LOAN_LIFETIME: Duration = Duration::from_millis(1_000);
 
-/// The part of the bound that hosts spend; the rest covers hosts that came or went in the window.
-const SPENT_PART: f64 = 0.6;
-/// The part of the bound that hosts spend within a window of their start: the rest may have been spent before it.
-const SPENT_AT_START: f64 = 1.0 - SPENT_PART;
+/// Fraction of the bound that hosts spend. The rest covers hosts that joined or left within the window.
+const SPENDABLE_FRACTION: f64 = 0.6;
+/// Fraction of the bound that a host spends within one window of its start. Its previous incarnation may have spent the
+/// rest.
+const SPENDABLE_FRACTION_AT_START: f64 = 1.0 - SPENDABLE_FRACTION;
 
-/// The bound on repeated sends.
+/// The bound on retries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bound {
-    /// Repeated sends allowed for each request.
+    /// Retries allowed for each request.
     pub ratio: f64,
     /// The length of the sliding window.
     pub window: Duration,
-    /// Repeated sends allowed beside the ratio, over all hosts.
+    /// Retries allowed in addition to the ratio, over all hosts.
     pub slack: f64,
 }
 
-/// A part of the budget, in thousandths of a repeat, and until when it counts or may be used.
+/// A part of the budget, in units, and until when it counts or may be used.
 #[derive(Debug, Clone, Copy)]
 struct Amount {
     part: u32,
@@ -47,22 +48,22 @@
 pub struct Budget {
     bound: Bound,
     /// When the host began to serve.
-    began: Time,
+    started_at: Time,
     requests: VecDeque<Time>,
-    /// What was spent of the own part.
+    /// What was spent of the host's own part.
     spent: VecDeque<Amount>,
     /// What was lent of it.
     lent: VecDeque<Amount>,
-    /// What others have lent, and what was not needed after all.
+    /// Loans from other hosts that are still unused.
     borrowed: VecDeque<Amount>,
 }
 
 impl Budget {
-    /// Starts with nothing spent; the host began to serve at `began`.
-    pub fn new(bound: Bound, began: Time) -> Budget {
+    /// Creates a budget of which nothing is spent; the host began to serve at `started_at`.
+    pub fn new(bound: Bound, started_at: Time) -> Budget {
         Budget {
             bound,
-            began,
+            started_at,
             requests: VecDeque::new(),
             spent: VecDeque::new(),
             lent: VecDeque::new(),
@@ -70,23 +71,23 @@
         }
     }
 
-    /// Notes the first send of a request.
+    /// Records the first send of a request.
     pub fn request(&mut self, now: Time) {
         self.trim(now);
         self.requests.push_back(now);
     }
 
-    /// Takes one repeated send, if the host's part of `hosts`, with what it has borrowed, holds it.
+    /// Spends one retry. Returns whether the host's own part among `hosts` hosts and its loans were enough for it.
     pub fn spend(&mut self, now: Time, hosts: usize) -> bool {
         if self.missing(now, hosts) > 0 {
             return false;
         }
         let mut needed = UNITS_PER_RETRY;
-        while let Some(lent) = self.borrowed.front_mut().filter(|_| needed > 0) {
-            let used = lent.part.min(needed);
-            lent.part -= used;
+        while let Some(loan) = self.borrowed.front_mut().filter(|_| needed > 0) {
+            let used = loan.part.min(needed);
+            loan.part -= used;
             needed -= used;
-            if lent.part == 0 {
+            if loan.part == 0 {
                 self.borrowed.pop_front();
             }
         }
@@ -100,16 +101,16 @@
         true
     }
 
-    /// Gives what is missing for one repeated send.
+    /// Returns how many units are missing for one retry.
     pub fn missing(&mut self, now: Time, hosts: usize) -> u32 {
         let own = self.remaining(now, hosts);
-        let borrowed = self.borrowed.iter().map(|lent| lent.part);
-        let left = borrowed.fold(own, u32::saturating_add);
-        UNITS_PER_RETRY.saturating_sub(left)
+        let borrowed = self.borrowed.iter().map(|loan| loan.part);
+        let available = borrowed.fold(own, u32::saturating_add);
+        UNITS_PER_RETRY.saturating_sub(available)
     }
 
-    /// Takes back the last repeated send that was spent, since it reached no server. Where a part of it was borrowed it is
-    /// lost: its lender counts it for just as long as it might have been used.
+    /// Refunds the last retry, since it reached no server. A retry that was partly borrowed isn't refunded: the
+    /// lender counts the loan only as long as it might have been used.
     pub fn refund(&mut self) {
         let last = self
             .spent
@@ -120,38 +121,41 @@
         }
     }
 
-    /// Lends another host as much as it asks for, if that is left; gives how much.
-    pub fn lend(&mut self, asked: u32, now: Time, hosts: usize) -> u32 {
-        let part = self.remaining(now, hosts).min(asked).min(UNITS_PER_RETRY);
+    /// Lends another host as much of `requested` units as remains. Returns how many units were lent.
+    pub fn lend(&mut self, requested: u32, now: Time, hosts: usize) -> u32 {
+        let part = self
+            .remaining(now, hosts)
+            .min(requested)
+            .min(UNITS_PER_RETRY);
         if part > 0 {
-            // It is used later than now, but before `LOAN_LIFETIME` is over, and counts for a window from then on.
+            // The borrower uses the loan before `LOAN_LIFETIME` is over, and it counts for a window from then on.
             let until = now + LOAN_LIFETIME + self.bound.window;
             self.lent.push_back(Amount { part, until });
         }
         part
     }
 
-    /// Takes what another host has lent.
+    /// Adds a loan of another host.
     pub fn deposit(&mut self, part: u32, until: Time) {
         self.borrowed.push_back(Amount { part, until });
     }
 
-    /// Gives what is left of the host's own part, in thousandths of a repeat.
+    /// Returns how many units remain of the host's own part.
     pub fn remaining(&mut self, now: Time, hosts: usize) -> u32 {
         self.trim(now);
-        let has_started = now.since(self.began) <= self.bound.window + LOAN_LIFETIME;
-        let part = if has_started {
-            SPENT_AT_START
+        let just_started = now.since(self.started_at) <= self.bound.window + LOAN_LIFETIME;
+        let fraction = if just_started {
+            SPENDABLE_FRACTION_AT_START
         } else {
-            SPENT_PART
+            SPENDABLE_FRACTION
         };
         let slack = self.bound.slack / hosts.max(1) as f64;
         let earned = self.bound.ratio * self.requests.len() as f64;
-        let most = part * (slack + earned) * f64::from(UNITS_PER_RETRY);
-        let gone = self.spent.iter().chain(&self.lent);
-        let gone = gone.map(|amount| amount.part);
-        // Casting from floats saturates.
-        (most as u32).saturating_sub(gone.fold(0, u32::saturating_add))
+        let total = fraction * (slack + earned) * f64::from(UNITS_PER_RETRY);
+        let used = self.spent.iter().chain(&self.lent);
+        let used = used.map(|amount| amount.part);
+        // Casts from floats saturate.
+        (total as u32).saturating_sub(used.fold(0, u32::saturating_add))
     }
 
     fn trim(&mut self, now: Time) {
--- a/crates/alderglade-core/src/fleet/caller.rs
+++ b/crates/alderglade-core/src/fleet/caller.rs
@@ -1,27 +1,27 @@
-//! How long callers of streams wait before they leave, and how long their servers may therefore be silent.
+//! How long callers of streams wait before they disconnect, and how long their servers may therefore be silent.
 //!
-//! Who leaves gets nothing, however good the answer would have been: a silent server is given up while another one
-//! can still begin.
+//! A caller that disconnects gets nothing, however good the answer would have been. So a silent server is abandoned
+//! while another one can still begin.
 
 use std::time::Duration;
 
-/// A caller waits at least this long for the first or the next event. This and the two factors are from the users'
-/// pages.
+/// The minimum time for which a caller waits for the first or the next event. This and the two factors below are
+/// specified in the platform's documentation for users.
 const LEAST: Duration = Duration::from_millis(2_000);
-/// A caller waits for this many times the aim, if that is longer.
+/// A caller waits for this multiple of the latency objective, if that is longer.
 const AIMS: u32 = 4;
-/// A caller waits for this many times the longest pause of an answer in time, if that is longer.
+/// A caller waits for this multiple of the longest pause of an answer in time, if that is longer.
 const PAUSES: u32 = 8;
-/// The part of what is left of a caller's patience after which a silent server is given up: another one needs the
-/// rest to begin.
+/// Fraction of the caller's remaining timeout after which a silent server is abandoned. Another server needs the rest
+/// to begin.
 const SILENT: f64 = 0.6;
 
-/// Gives how long a caller waits for the first or the next event.
+/// Returns how long a caller waits for the first or the next event.
 pub fn response_timeout(objective: Duration, longest_pause: Duration) -> Duration {
     LEAST.max(objective * AIMS).max(longest_pause * PAUSES)
 }
 
-/// Gives how long a server may be silent where the caller's patience has `left` to go.
+/// Returns how long a server may be silent if `remaining` is left of the caller's timeout.
 pub fn silence_timeout(left: Duration) -> Duration {
     left.mul_f64(SILENT)
 }
--- a/crates/alderglade-core/src/fleet/config.rs
+++ b/crates/alderglade-core/src/fleet/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, services, limits and workspaces, with their look-ups.
+//! The configuration in force: routes, services, limits and workspaces, with their lookups.
 
 mod patch;
 
@@ -22,15 +22,15 @@
     NonIdempotent,
     /// Answered by a series of events.
     Stream {
-        /// Whether a broken stream may be taken up at another backend server.
+        /// Whether a broken stream may be resumed at another backend server.
         resumable: bool,
-        /// The longest pause between events for which the answer is still in time.
+        /// The longest pause between events for which the answer still counts as in time.
         longest_pause: Duration,
     },
 }
 
 impl Kind {
-    /// Says whether a request of this kind may run again after it may have run once.
+    /// Returns whether a request of this kind may run again after it may have run once.
     pub fn is_repeatable(self) -> bool {
         match self {
             Kind::Idempotent => true,
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Gives the longest pause between events for which an answer is still in time, where there are events.
+    /// Returns the longest pause between events for which an answer still counts as in time, for kinds that have
+    /// events.
     pub fn longest_pause(self) -> Option<Duration> {
         match self {
             Kind::Stream { longest_pause, .. } => Some(longest_pause),
@@ -60,33 +61,32 @@
 /// One route.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name, by which operators know it. Nothing reads it yet.
+    /// Its name, which operators know it by. Only the order of routes and patches depend on it.
     pub name: Name,
-    /// The `Host` that it answers to, in lower case.
+    /// The `Host` that it matches, in lower case.
     pub host: Name,
-    /// The beginning of the paths that it answers to; begins and ends with a slash.
+    /// The prefix of the paths that it matches; begins and ends with a slash.
     pub path_prefix: Name,
     /// How often its requests may run.
     pub kind: Kind,
-    /// The longest that a request is held.
+    /// The longest time for which a request is held.
     pub time_limit: Duration,
-    /// The time within which an answer (of a stream: its first event) earns its full worth.
+    /// The latency objective: the time within which an answer (for a stream, its first event) earns its full value.
     pub objective: Duration,
-    /// The rank of its requests; `0` comes first. Nothing goes by it: prompts are placed by what they
-    /// are worth.
+    /// The rank of its requests; `0` is the highest. Not used: prompts are placed by their value.
     pub priority: u32,
-    /// The most backend servers that one request is sent to.
+    /// The maximum number of backend servers that one request is sent to.
     pub max_attempts: u32,
     /// Whether it needs no key.
     pub public: bool,
-    /// Where its requests go; at least one.
+    /// The services that its requests go to; at least one.
     pub targets: Vec<Target>,
-    /// The regions in which its requests may run; empty where that is all.
+    /// The regions in which its requests may run; empty for all.
     pub regions: Arc<[Name]>,
 }
 
 impl Route {
-    /// Picks the target for a number drawn evenly from `0.0..1.0`.
+    /// Returns the target for `draw`, a random number from the uniform distribution over `0.0..1.0`.
     pub fn target(&self, draw: f64) -> Option<&Target> {
         let total: f64 = self.targets.iter().map(|target| target.weight).sum();
         let mut left = draw * total;
@@ -100,35 +100,35 @@
     }
 }
 
-/// A service and how its backend servers work.
+/// A service and the properties of its backend servers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// Its name.
     pub name: Name,
-    /// The timing of its engines, where its backend servers are model engines.
+    /// The timing of its engines, if its backend servers are model engines.
     pub engine: Option<EngineProfile>,
-    /// The connections that one backend server accepts from all callers together. Nothing goes by it:
-    /// a host has as many connections to a server as requests in hand there.
+    /// The number of connections that one backend server accepts from all callers together. Not used: a host has as
+    /// many connections to a server as it has requests running there.
     pub max_connections: u32,
     /// How long a backend server is cold after its start.
     pub cold_start: Duration,
-    /// The requests a second that one bears while it is cold; `0.0` where it bears any number.
+    /// The requests per second that a cold server accepts; `0.0` for any number.
     pub cold_per_second: f64,
 }
 
-/// Bounds on what a caller sends.
+/// Limits on what a caller sends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// The most bytes of a request's head.
+    /// The maximum size of a request's headers, in bytes.
     pub max_header_bytes: usize,
-    /// The most bytes of a request's body.
+    /// The maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// The longest that a connection may be at rest.
+    /// The longest time for which a connection may be idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// Gives bounds for a configuration that states none: those of common HTTP servers.
+    /// Returns the limits for a configuration that states none: those that are common for HTTP servers.
     fn default() -> Limits {
         Limits {
             max_header_bytes: 16 * 1024,
@@ -138,23 +138,23 @@
     }
 }
 
-/// One workspace and the keys that open it.
+/// One workspace and its keys.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Workspace {
     /// Its name.
     pub name: Name,
-    /// Its keys.
+    /// The keys that grant access to it.
     pub keys: Vec<Name>,
-    /// Its rank; `0` comes first. Nothing goes by it: prompts are placed by what they are worth.
+    /// Its rank; `0` is the highest. Not used: prompts are placed by their value.
     pub priority: u32,
-    /// The regions in which its requests may run; empty where that is all.
+    /// The regions in which its requests may run; empty for all.
     pub regions: Arc<[Name]>,
 }
 
-/// Who a request is served for.
+/// The result of the access check of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Access {
-    /// The route or the configuration asks for no key.
+    /// The route or the configuration requires no key.
     Open,
     /// The key belongs to this workspace.
     Workspace(Name),
@@ -162,22 +162,22 @@
     Denied,
 }
 
-/// A whole configuration, indexed for look-ups.
+/// A complete configuration, indexed for lookups.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Config {
     /// Its version; a higher one is newer.
     pub version: u64,
-    /// Bounds on what callers send.
+    /// Limits on what callers send.
     pub limits: Limits,
     routes: HashMap<Name, Vec<Route>>,
     services: HashMap<Name, Service>,
     keys: Option<HashMap<Name, Name>>,
-    /// The regions of the workspaces that name some.
+    /// The regions of the workspaces that restrict them.
     regions: HashMap<Name, Arc<[Name]>>,
 }
 
 impl Config {
-    /// Indexes a configuration. `workspaces` is `None` where keys aren't used at all.
+    /// Indexes a configuration. `workspaces` is `None` if keys aren't used at all.
     pub fn new(
         version: u64,
         limits: Limits,
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Finds the route of the host with the longest prefix that begins the path.
+    /// Returns the route of `host` with the longest prefix that matches the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let lower = host.to_ascii_lowercase();
         let name = lower.split(':').next().unwrap_or_default();
@@ -215,31 +215,31 @@
             .find(|route| path.starts_with(&*route.path_prefix))
     }
 
-    /// Gives the pauses that answers of a service bear, by the routes that lead to it.
+    /// Returns the pauses that answers of a service tolerate, from the routes that lead to it.
     pub fn pauses(&self, service: &str) -> Pauses {
         let routes = self.routes.values().flatten();
         let own = routes.filter(|route| route.targets.iter().any(|to| &*to.service == service));
         Pauses::of(own.filter_map(|route| route.kind.longest_pause()))
     }
 
-    /// Lists the services.
+    /// Returns the services.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
-    /// Finds a service.
+    /// Returns the service of this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// Gives the regions in which a request on a route may run that is served for a workspace.
+    /// Returns the regions in which a request of a route and a workspace may run.
     pub fn homes(&self, route: &Route, workspace: Option<&str>) -> Homes {
         let of_workspace = workspace.and_then(|name| self.regions.get(name));
         let both = [Some(&route.regions), of_workspace];
         Homes::of(both.into_iter().flatten().cloned())
     }
 
-    /// Tells for whom a request with this key is served on a route.
+    /// Checks whether a request with this key may use a route, and for which workspace.
     pub fn access(&self, route: &Route, key: Option<&str>) -> Access {
         let Some(keys) = &self.keys else {
             return Access::Open;
@@ -264,8 +264,8 @@
     index
 }
 
-/// Puts longer prefixes first, so that the first one that begins a path is the longest; the rest of the
-/// order only makes it the same on every host.
+/// Sorts longer prefixes first, so that the first match of a path is the longest. The further criteria only make the
+/// order the same on every host.
 fn sort_routes(list: &mut [Route]) {
     list.sort_by(|a, b| {
         let longer = b.path_prefix.len().cmp(&a.path_prefix.len());
--- a/crates/alderglade-core/src/fleet/config/patch.rs
+++ b/crates/alderglade-core/src/fleet/config/patch.rs
@@ -1,7 +1,7 @@
-//! What differs between two configurations, for hosts that don't watch the store.
+//! The difference between two configurations, for hosts that don't watch the store.
 //!
-//! Most new versions change a few routes or keys of hundreds. A host that has the older version makes the
-//! newer one from the difference, and needs no call to the store for it.
+//! Most new versions change a few routes or keys of hundreds. A host that has the older version builds the
+//! newer one from the difference, without a call to the store.
 
 use super::{Config, Limits, Route, Service};
 use crate::Name;
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The difference of two configurations.
+/// The difference between two configurations.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Patch {
     /// The version that it applies to.
@@ -23,11 +23,11 @@
     services: Vec<Service>,
     dropped_keys: Vec<Name>,
     keys: Vec<Key>,
-    /// The regions of all workspaces that name some.
+    /// The regions of all workspaces that restrict them.
     regions: HashMap<Name, Arc<[Name]>>,
 }
 
-/// Names a route.
+/// Identifies a route.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct RouteKey {
     host: Name,
@@ -35,7 +35,7 @@
     name: Name,
 }
 
-/// A key and whom it opens the door to.
+/// A key and the workspace that it grants access to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Key {
     key: Name,
@@ -68,7 +68,7 @@
 }
 
 impl Patch {
-    /// Gives what leads from one configuration to another; `None` where only one of them uses keys.
+    /// Creates the patch that leads from one configuration to another, or returns `None` if only one of them uses keys.
     pub fn between(old: &Config, new: &Config) -> Option<Patch> {
         if old.keys.is_some() != new.keys.is_some() {
             return None;
@@ -112,7 +112,7 @@
 }
 
 impl Config {
-    /// Gives the configuration that a patch leads to; `None` where it applies to another version.
+    /// Returns the configuration that a patch leads to, or `None` if the patch applies to another version.
     pub fn patched(&self, patch: &Patch) -> Option<Config> {
         if patch.base != self.version {
             return None;
--- a/crates/alderglade-core/src/fleet/evacuation.rs
+++ b/crates/alderglade-core/src/fleet/evacuation.rs
@@ -1,7 +1,7 @@
 //! Failure domains that the operator has evacuated: nothing new is sent to their servers.
 //!
-//! Which ones are holds as of a position in the store, and the latest position counts. What comes late, twice, from a peer that
-//! was cut off or from a former era of the store therefore changes nothing.
+//! The set of evacuated domains is valid as of a position in the store, and the latest position counts. So a message
+//! changes nothing if it is late or duplicated, or comes from a disconnected peer or an earlier era of the store.
 
 use super::position::Position;
 use crate::Name;
@@ -10,10 +10,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long an evacuation stays in force that a copy of the store lacks: the operator writes again what was lost.
+/// How long an evacuation stays in force after the store was restored from a copy that lacks it. Within this time the
+/// operator writes the lost state again.
 pub const RESTORED_GRACE: Duration = Duration::from_secs(10);
 
-/// An evacuation that a copy of the store lacks.
+/// An evacuation that is missing from the copy that the store was restored from.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MissingEvacuation {
     /// The failure domain.
@@ -22,18 +23,18 @@
     pub left_ms: u32,
 }
 
-/// The evacuations, as hosts tell each other.
+/// The evacuations, as hosts send them to each other.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// As of which position in the store; `None` where the sender doesn't know them.
+    /// The position in the store as of which they are valid, or `None` if the sender doesn't know them.
     pub at: Option<Position>,
     /// The failure domains that are evacuated in the store.
     pub domains: Vec<Name>,
-    /// Those whose evacuation a copy of the store lacks.
+    /// Those whose evacuation is missing from a restored copy of the store.
     pub lost: Vec<MissingEvacuation>,
 }
 
-/// How one failure domain stands, as the store tells of a change.
+/// A change of one failure domain, as read from the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
     /// The failure domain.
@@ -42,25 +43,25 @@
     pub evacuated: bool,
 }
 
-/// The evacuations, as one host knows them.
+/// The evacuations that one host knows.
 #[derive(Debug, Default)]
 pub struct Evacuations {
     /// The failure domains that are evacuated in the store.
     domains: BTreeSet<Name>,
-    /// As of which position.
+    /// The position in the store as of which they are valid.
     at: Option<Position>,
-    /// Those whose evacuation a copy of the store lacks, and until when it stays in force.
+    /// Those whose evacuation is missing from a restored copy of the store, and until when it stays in force.
     lost: BTreeMap<Name, Time>,
 }
 
 impl Evacuations {
-    /// Says whether this host knows them, from the store or from another host.
+    /// Returns whether this host knows the evacuations, from the store or from another host.
     pub fn is_known(&self) -> bool {
         self.at.is_some()
     }
 
-    /// Takes all domains that are evacuated as of a position, unless a later one is known; says whether that changes which
-    /// ones are.
+    /// Replaces the evacuated domains by those as of `position`, unless a later position is known. Returns whether
+    /// the domains in force change.
     pub fn replace(&mut self, domains: BTreeSet<Name>, position: Position, now: Time) -> bool {
         if self.at >= Some(position) {
             return false;
@@ -77,8 +78,8 @@
         self.in_force() != before
     }
 
-    /// Takes changes that lead to a position, unless a later one is known; says whether they change which domains are evacuated.
-    /// Of several changes of one domain the last counts.
+    /// Applies changes that lead up to `position`, unless a later position is known. Returns whether the domains in
+    /// force change. Of several changes of one domain the last counts.
     pub fn apply_changes(&mut self, changes: &[Change], position: Position) -> bool {
         if self.at >= Some(position) {
             return false;
@@ -96,12 +97,12 @@
         self.in_force() != before
     }
 
-    /// Takes what another host knows; says whether that changes which domains are evacuated.
+    /// Applies another host's snapshot. Returns whether the domains in force change.
     pub fn apply_snapshot(&mut self, snapshot: &Snapshot, now: Time) -> bool {
         let Some(position) = snapshot.at else {
             return false;
         };
-        // Each notice tells them, and nearly none anything new.
+        // Every notice carries a snapshot, and nearly none of them is news.
         if self.at >= snapshot.at && snapshot.lost.is_empty() {
             return false;
         }
@@ -117,20 +118,21 @@
         self.in_force() != before
     }
 
-    /// Ends the evacuations that a copy of the store lacks and nobody has written again; says whether there was one.
+    /// Ends the evacuations that were missing from a restored copy and not written again in time. Returns whether
+    /// there was one.
     pub fn expire(&mut self, now: Time) -> bool {
         let before = self.lost.len();
         self.lost.retain(|_, until| *until > now);
         self.lost.len() < before
     }
 
-    /// Lists the failure domains that are evacuated.
+    /// Returns the failure domains that are evacuated.
     pub fn in_force(&self) -> BTreeSet<Name> {
         let lost = self.lost.keys();
         self.domains.iter().chain(lost).cloned().collect()
     }
 
-    /// Gives what other hosts are told.
+    /// Returns the snapshot for other hosts.
     pub fn snapshot(&self, now: Time) -> Snapshot {
         let lost = self.lost.iter().map(|(domain, until)| MissingEvacuation {
             domain: domain.clone(),
--- a/crates/alderglade-core/src/fleet/health.rs
+++ b/crates/alderglade-core/src/fleet/health.rs
@@ -1,12 +1,13 @@
-//! What a host has learnt of backend servers from its own calls.
+//! Tracks the health of backend servers, from this host's own calls and from what other hosts report.
 //!
-//! A server that refuses connections, stays silent or fails requests is passed over for a while that
-//! grows with each failure in a row. It is tried again by ordinary requests when the time is over, so
-//! that a few bad answers never empty a service: where all are doubted, all are used.
+//! A server that refuses connections, stays silent or fails requests is ejected for a while that grows with each
+//! failure in a row. Ordinary requests try it again when this time is over, so that a few bad answers never empty a
+//! service: if all servers are suspect, all of them are used.
 //!
-//! Hosts tell each other what servers or their machines say: which of them refuse work, by another one's word, which
-//! are slow, by their own, and at whose address nobody listens. That is true for everybody. Silence and broken connections
-//! may lie in the host's own link: they are told too, and count for others where a second host has seen the same.
+//! Hosts report to each other what servers or their machines state: that another server refuses work, that a server
+//! itself is slow, or that nothing listens at its address. These are true for every host. Silence and broken
+//! connections may be caused by the host's own link. They are reported, too, and count for another host if a second
+//! host has seen the same.
 
 mod witness;
 
@@ -18,31 +19,31 @@
 use std::time::Duration;
 use witness::Witnesses;
 
-/// The first time out after a server could not be reached.
+/// The ejection time after the first failure to reach a server.
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
-/// The longest time out; short enough to find a server that is back within two seconds.
+/// The longest ejection time. It is short enough to find a server that has recovered within two seconds.
 const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-/// How long a server is passed over that refuses work or is slow: most of those that refuse are leaving, which
-/// the store tells within this time unless it is away; slow ones are asked again before it is over.
+/// How long a server is ejected that refuses work or is slow. Most servers that refuse work are leaving, which the
+/// store reports within this time unless it is unavailable. Slow servers are checked again before it is over.
 const EJECTED_FOR: Duration = Duration::from_secs(3);
-/// A peer's word that ends later than the own by no more than this is as old: it was on its way meanwhile. Small beside
-/// the time after which a slow server is asked again.
+/// A peer's report that ends later than this host's own finding by no more than this counts as equally old, because
+/// of its time in transit. Small compared with the time after which a slow server is checked again.
 const ON_ITS_WAY: Duration = Duration::from_millis(200);
-/// The least time between two questions of this host to a server how slow it is, where it isn't known to be: they
-/// are priced like health checks.
+/// Minimum time between two slowness checks of a server that isn't known to be slow. They cost as much as health
+/// checks.
 const QUESTIONS_APART: Duration = Duration::from_secs(3);
-/// How long peers are told that the last request to a server got no answer. A server that is asked again only when it is over
-/// takes two requests in this time.
+/// How long peers are told that the last request to a server got no answer. A server that is only tried again after
+/// this time gets two requests in it.
 const TOLD_UNANSWERED: Duration = Duration::from_secs(2);
-/// The weight of the newest answer in the share of failures.
+/// Weight of the newest result in the failure rate.
 const NEWEST: f64 = 0.15;
-/// A share of failures above which a server counts as failing.
+/// Failure rate above which a server counts as failing.
 const FAILING: f64 = 0.3;
 
 /// How a call to a server ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It answered as it should.
+    /// It answered correctly.
     Sound,
     /// It answered with a failure of its own, or broke its answer off.
     Failed,
@@ -50,44 +51,44 @@
     Broken,
     /// It could not be reached, or stayed silent.
     Silent,
-    /// Its machine says that nobody listens at its address.
+    /// Its machine reported that nothing listens at its address.
     Closed,
 }
 
-/// What was learnt of one incarnation of a server.
+/// The health of one incarnation of a server.
 #[derive(Debug, Default)]
 struct Record {
-    /// The share of recent calls that failed, the newest weighing most.
+    /// The share of recent calls that failed, weighted towards the newest.
     failures: f64,
-    /// Calls in a row that found it silent.
+    /// Calls in a row that could not reach it or got no answer.
     silences: u32,
-    /// Until when it is passed over because of how own calls ended.
+    /// Until when it is ejected because of this host's own calls.
     out_until: Time,
-    /// Whether the last of them found that nobody listens there.
+    /// Whether the last of these calls found that nothing listens at its address.
     closed: bool,
-    /// When the last call got no answer, if there was none since.
+    /// When the last call ended without an answer, if no later one was answered.
     unanswered: Option<Time>,
-    /// Until when it is passed over by a server's word.
+    /// Until when it is ejected because a server stated that it refuses work or is slow.
     ejected_until: Time,
-    /// Whether this host has that word from a server, not from a peer.
+    /// Whether a server stated this to this host, and not to a peer that reported it.
     first_hand: bool,
-    /// When this host last asked it how slow it is.
+    /// When this host last began to check it for slowness.
     asked: Option<Time>,
 }
 
 impl Record {
-    /// Says whether the server is passed over now by a server's word.
+    /// Returns whether the server is ejected now because a server stated that it refuses work or is slow.
     fn is_ejected(&self, now: Time) -> bool {
         self.ejected_until > now
     }
 
-    /// Says whether the last call got no answer, a short while ago.
+    /// Returns whether the last call ended a short while ago without an answer.
     fn is_unanswered(&self, now: Time) -> bool {
         self.unanswered
             .is_some_and(|at| now.since(at) < TOLD_UNANSWERED)
     }
 
-    /// Gives what this host tells its peers of the server, if anything.
+    /// Returns the ejection that this host reports to its peers, if any.
     fn told(&self, server: Key, now: Time) -> Option<Ejection> {
         let closed = self.out_until.left(now);
         let closed = if self.closed { closed } else { Duration::ZERO };
@@ -105,31 +106,31 @@
     }
 }
 
-/// A server that refuses work or is slow, as hosts tell each other.
+/// A server that refuses work, is slow, or has nothing listening at its address, as hosts report it to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ejection {
     /// The server.
     pub server: Key,
-    /// How much longer it is passed over, in milliseconds.
+    /// How much longer it is ejected, in milliseconds.
     pub left_ms: u32,
 }
 
-/// Gives the time out after so many silences in a row.
+/// Returns the ejection time after a number of silent calls in a row.
 fn pause_after(silences: u32) -> Duration {
     let pause = FIRST_PAUSE.saturating_mul(silences);
     pause.min(LONGEST_PAUSE)
 }
 
-/// The records of all servers, each of one incarnation: a server that starts again begins without any.
+/// The health records of all servers, by incarnation: a server that restarts begins without a record.
 #[derive(Debug, Default)]
 pub struct Health {
     records: HashMap<Key, Record>,
-    /// What other hosts tell of servers that don't answer them.
+    /// What other hosts report of servers that don't answer them.
     witnesses: Witnesses,
 }
 
 impl Health {
-    /// Notes how a call to a server ended.
+    /// Records how a call to a server ended.
     pub fn record(&mut self, server: Key, outcome: Outcome, now: Time) {
         let record = self.records.entry(server).or_default();
         let failed = if outcome == Outcome::Sound { 0.0 } else { 1.0 };
@@ -151,14 +152,14 @@
         }
     }
 
-    /// Notes what a server has told this host: that another one refuses work, or that it is slow itself.
+    /// Ejects a server because a server stated to this host that another one refuses work, or that it is slow itself.
     pub fn eject(&mut self, server: Key, now: Time) {
         let record = self.records.entry(server).or_default();
         record.ejected_until = now + EJECTED_FOR;
         record.first_hand = true;
     }
 
-    /// Says whether this host should ask a server now how slow it is, and if so, notes that it does.
+    /// Returns whether this host should check a server for slowness now, and records the check if so.
     pub fn begin_slowness_check(&mut self, server: Key, now: Time) -> bool {
         let record = self.records.entry(server).or_default();
         let lately = record
@@ -171,14 +172,15 @@
         true
     }
 
-    /// Says whether this host has the latest word that a server is to be passed over, and so looks after it.
+    /// Returns whether this host has the latest first-hand finding that a server is to be ejected, and so must check
+    /// it again.
     pub fn owns_ejection(&self, server: Key) -> bool {
         self.records
             .get(&server)
             .is_some_and(|record| record.first_hand)
     }
 
-    /// Takes a peer's word that a server refuses work or is slow.
+    /// Applies a peer's report that a server is to be ejected.
     pub fn apply_ejection(&mut self, ejection: &Ejection, now: Time) {
         let left = Duration::from_millis(u64::from(ejection.left_ms)).min(EJECTED_FOR);
         let until = now + left;
@@ -194,8 +196,8 @@
         }
     }
 
-    /// Lists the servers that are passed over as this host was told by a server or its machine itself: no more of them than
-    /// fit a notice beside its holdings.
+    /// Returns the servers whose ejection this host knows first-hand from a server or its machine: no more than fit a
+    /// notice beside the holdings.
     pub fn ejections_to_report(&self, now: Time) -> Vec<Ejection> {
         /// Some 300 bytes.
         const MOST: usize = 32;
@@ -204,7 +206,7 @@
         told.take(MOST).collect()
     }
 
-    /// Lists the servers whose last answer to this host is missing, as peers are told: no more than fit a notice.
+    /// Returns the servers whose last answer to this host is missing, as reported to peers: no more than fit a notice.
     pub fn unanswered_to_report(&self, now: Time) -> Vec<Key> {
         /// Some 100 bytes.
         const MOST: usize = 16;
@@ -213,18 +215,18 @@
         told.map(|(server, _)| *server).take(MOST).collect()
     }
 
-    /// Takes all the servers whose last answer to another host is missing.
+    /// Applies another host's full list of the servers whose last answer to it is missing.
     pub fn apply_unanswered(&mut self, host: &Name, domain: &Name, servers: &[Key], now: Time) {
         self.witnesses.hear(host, domain, servers, now);
     }
 
-    /// Gives how many servers are passed over by any server's word.
+    /// Returns the number of servers that are ejected because a server stated that they refuse work or are slow.
     pub fn ejected_count(&self, now: Time) -> usize {
         let records = self.records.values();
         records.filter(|record| record.is_ejected(now)).count()
     }
 
-    /// Says whether a server should be passed over now where others can serve, by a host of a failure domain.
+    /// Returns whether a host of `own_domain` should skip a server now if others can serve.
     pub fn is_suspect(&self, server: Key, own_domain: &str, now: Time) -> bool {
         let record = self.records.get(&server);
         let out = record.is_some_and(|record| record.out_until > now || record.is_ejected(now));
@@ -232,14 +234,14 @@
         out || self.witnesses.doubt(server, own_domain, seen, now)
     }
 
-    /// Gives the share of a server's recent calls that failed, from `0.0` to `1.0`.
+    /// Returns the share of a server's recent calls that failed, from `0.0` to `1.0`.
     pub fn failing(&self, server: Key) -> f64 {
         self.records
             .get(&server)
             .map_or(0.0, |record| record.failures)
     }
 
-    /// Forgets the servers that are not listed any more.
+    /// Drops the servers that are no longer listed.
     pub fn retain(&mut self, known: impl Fn(Key) -> bool) {
         self.records.retain(|server, _| known(*server));
     }
--- a/crates/alderglade-core/src/fleet/health/witness.rs
+++ b/crates/alderglade-core/src/fleet/health/witness.rs
@@ -1,9 +1,9 @@
-//! What other hosts tell of servers that leave their requests without an answer.
+//! Tracks what other hosts report of servers that leave their requests without an answer.
 //!
-//! One host's word may come of its own link, so that it doubts nobody for all. Two of the own failure domain, which see the
-//! server over links of the same kind, or hosts of two domains, are believed: a server that resets all it gets looks
-//! empty for that and draws work from every host, where each must find out by three failures of its own; together they
-//! need two.
+//! A single host's report may be caused by its own link, so that it makes no server suspect. Reports by two hosts of
+//! the own failure domain, which reach the server over similar links, or by hosts of two domains are believed. A
+//! server that resets all its connections looks idle and attracts requests from every host. Each host alone needs
+//! three failures of its own to find that out; together they need two.
 
 use crate::Name;
 use crate::fleet::incarnation::Key;
@@ -11,10 +11,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a host's word counts after it was last told: longer than the longest heartbeat, with which it is told again.
+/// How long a host's report counts. Longer than the longest heartbeat interval, after which it is repeated.
 const COUNTS: Duration = Duration::from_millis(1_500);
 
-/// A host that told of a server.
+/// A host that has reported a server.
 #[derive(Debug)]
 struct Witness {
     host: Name,
@@ -22,14 +22,14 @@
     until: Time,
 }
 
-/// Who has told of which servers.
+/// The reports of all hosts, by server.
 #[derive(Debug, Default)]
 pub(super) struct Witnesses {
     by_server: BTreeMap<Key, Vec<Witness>>,
 }
 
 impl Witnesses {
-    /// Takes all the servers that a host tells of now; what it told before and doesn't any more is over.
+    /// Applies the full list of servers that a host reports now. Its earlier reports of other servers end.
     pub(super) fn hear(&mut self, host: &Name, domain: &Name, servers: &[Key], now: Time) {
         for (server, witnesses) in &mut self.by_server {
             let told = servers.contains(server);
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Says whether a server is doubted by what hosts have told, and by what this host, of a failure domain, has `seen` itself.
+    /// Returns whether a server is suspect by the hosts' reports, and by what this host in `own_domain` has `seen`
+    /// itself.
     pub(super) fn doubt(&self, server: Key, own_domain: &str, seen: bool, now: Time) -> bool {
         let Some(witnesses) = self.by_server.get(&server) else {
             return false;
--- a/crates/alderglade-core/src/fleet/heartbeat.rs
+++ b/crates/alderglade-core/src/fleet/heartbeat.rs
@@ -1,34 +1,33 @@
-//! How often a host tells its peers what it holds.
+//! How often a host sends its holdings to its peers.
 //!
-//! What has changed is told at once; heartbeats only show that a host lives and make good what was lost.
+//! Changes are sent at once. Heartbeats only show that a host is alive and make up for lost messages.
 //! The more hosts there are, the less each of them matters to the others' view, and the more its heartbeats
-//! cost: their interval grows with the number of hosts, so that a host sends a bounded number a second.
+//! cost. The interval therefore grows with the number of hosts, so that a host sends a bounded number per second.
 
 use crate::time::Time;
 use std::time::Duration;
 
-/// The shortest interval, and that of hosts that watch the store, by whom others go.
+/// The shortest interval. It also applies to hosts that watch the store, since others depend on them.
 pub const MIN_INTERVAL: Duration = Duration::from_millis(250);
-/// The longest interval; a host that dies counts for five of them.
+/// The longest interval. A dead host counts as alive for five of them.
 pub const MAX_INTERVAL: Duration = Duration::from_millis(1_000);
-/// What each host adds to the interval, so that with up to a hundred of them a host sends at most a hundred
-/// heartbeats a second.
+/// What each host adds to the interval, so that with up to a hundred hosts each sends at most a hundred
+/// heartbeats per second.
 const PER_HOST: Duration = Duration::from_millis(10);
-/// Intervals without a notice after which a host holds nothing any more; one of them is for a notice on
-/// its way.
+/// Intervals without a notice after which a host's holdings expire. One of them allows for a notice in transit.
 const LAPSE: u32 = 5;
-/// The time without a notice after which a host no longer counts as heard, in intervals: two, and more than
-/// half of another for a notice on its way.
+/// Intervals without a notice after which a host no longer counts as live: two, and more than half of another for a
+/// notice in transit.
 const HEARD: f64 = 2.6;
-/// The least time from one whole notice, of all that a host holds, to the next.
+/// Minimum time between two full notices, which contain all that a host holds.
 const LEAST_WHOLE: Duration = Duration::from_millis(1_000);
-/// The least time from one whole notice to the next in intervals, which is longer where these are.
+/// The same in intervals, which applies if it is longer.
 const WHOLE_INTERVALS: f64 = 2.5;
-/// How long a host tells in whole notices what it has placed: in two of them, where the interval is longest.
+/// How long full notices report placed prompts: in two notices at the longest interval.
 pub const PLACED_REPORT_TIME: Duration = Duration::from_millis(5_000);
 
-/// Gives the interval of a host that knows of so many `hosts`, itself among them; `watches` says whether it watches
-/// the store.
+/// Returns the interval of a host that knows `hosts` hosts, itself included. `watches` states whether it watches the
+/// store.
 pub fn interval(hosts: usize, watches: bool) -> Duration {
     if watches {
         return MIN_INTERVAL;
@@ -39,22 +38,22 @@
         .clamp(MIN_INTERVAL, MAX_INTERVAL)
 }
 
-/// Gives the time without a notice after which a host with this interval counts as dead, and holds nothing any more.
+/// Returns the time without a notice after which a host with this interval counts as dead, and its holdings expire.
 pub fn expiry(interval: Duration) -> Duration {
     interval.max(MIN_INTERVAL) * LAPSE
 }
 
-/// Gives the time without a notice after which a host with this interval no longer counts as heard.
+/// Returns the time without a notice after which a host with this interval no longer counts as live.
 pub fn liveness_timeout(interval: Duration) -> Duration {
     interval.max(MIN_INTERVAL).mul_f64(HEARD)
 }
 
-/// Gives the time from one whole notice to the next of a host with this interval.
+/// Returns the time between two full notices of a host with this interval.
 fn whole(interval: Duration) -> Duration {
     LEAST_WHOLE.max(interval.mul_f64(WHOLE_INTERVALS))
 }
 
-/// What a host should tell its peers now.
+/// What a host should send to its peers now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Due {
     /// All that it holds.
@@ -63,17 +62,17 @@
     Changes,
 }
 
-/// When a host last told its peers something.
+/// When a host last sent notices to its peers.
 #[derive(Debug, Default)]
 pub struct Schedule {
     /// Its last notice of any kind.
     told: Option<Time>,
-    /// Its last notice of all that it holds.
+    /// Its last full notice.
     whole: Option<Time>,
 }
 
 impl Schedule {
-    /// Says what is due, where heartbeats come at `interval`.
+    /// Returns which notice is due, if heartbeats are sent every `interval`.
     pub fn due(&self, interval: Duration, now: Time) -> Option<Due> {
         let over = |last: Option<Time>, span| last.is_none_or(|at| now.since(at) >= span);
         if over(self.whole, whole(interval)) {
@@ -82,7 +81,7 @@
         over(self.told, interval).then_some(Due::Changes)
     }
 
-    /// Notes that peers are told something now.
+    /// Records that a notice is sent now.
     pub fn note(&mut self, due: Due, now: Time) {
         self.told = Some(now);
         if due == Due::Whole {
--- a/crates/alderglade-core/src/fleet/life.rs
+++ b/crates/alderglade-core/src/fleet/life.rs
@@ -1,8 +1,8 @@
-//! The life of a request towards backend servers, by typestate.
+//! The state of a request with regard to backend servers, as a typestate.
 //!
-//! `Waiting → Sent → Waiting → …`. A refusal can only be made while the request waits, and what it
-//! says of having run follows from what became of each send. A request that was sent waits again
-//! only through one of three words: nothing was sent, the server disclaimed it, or contact was lost.
+//! `Waiting → Sent → Waiting → …`. A refusal can only be created while the request waits, and whether it reports
+//! that the request may have run follows from the outcome of each send. A request that was sent waits again only
+//! after one of three outcomes: nothing was sent, the server disclaimed it, or contact was lost.
 
 use crate::error::{Kind, Ran};
 use crate::request::Refusal;
@@ -14,20 +14,20 @@
     may_have_run: bool,
 }
 
-/// The request was sent to a server that has not told how it ended.
+/// The request was sent to a server that has not reported an outcome.
 #[derive(Debug)]
 pub struct Sent {
     may_have_run: bool,
 }
 
-/// A request's life in one of its states.
+/// The life of a request in one of its states.
 #[derive(Debug)]
 pub struct Life<S> {
     state: S,
 }
 
 impl Life<Waiting> {
-    /// Starts the life of a request that nobody has been sent.
+    /// Creates the life of a request that was not sent to any server.
     pub fn new() -> Life<Waiting> {
         Life {
             state: Waiting {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Notes that the request is about to be sent.
+    /// Records that the request is about to be sent.
     pub fn send(self) -> Life<Sent> {
         Life {
             state: Sent {
@@ -45,13 +45,13 @@
         }
     }
 
-    /// Says whether it may have run.
+    /// Returns whether the request may have run.
     pub fn may_have_run(&self) -> bool {
         self.state.may_have_run
     }
 
-    /// Gives up. `kind` is what is answered where the request did not run; where it may have run, the
-    /// answer says so instead.
+    /// Creates the refusal of the request. `kind` applies if the request did not run. If it may have run, the refusal
+    /// has a kind that says so instead.
     pub fn refuse(&self, kind: Kind, retry_after: Duration) -> Refusal {
         let row = kind.row();
         let kind = match (self.state.may_have_run, row.ran) {
@@ -70,17 +70,17 @@
 }
 
 impl Life<Sent> {
-    /// Notes that no byte of the request was sent.
+    /// Records that no byte of the request was sent.
     pub fn never_sent(self) -> Life<Waiting> {
         self.back(false)
     }
 
-    /// Notes that the server said that it did not run the request.
+    /// Records that the server stated that it did not run the request.
     pub fn disclaimed(self) -> Life<Waiting> {
         self.back(false)
     }
 
-    /// Notes that the request ran, or that nobody can say whether it did.
+    /// Records that the request ran, or that it is unknown whether it did.
     pub fn lost(self) -> Life<Waiting> {
         self.back(true)
     }
--- a/crates/alderglade-core/src/fleet/loan.rs
+++ b/crates/alderglade-core/src/fleet/loan.rs
@@ -1,7 +1,7 @@
-//! What a host asks of others' budgets of repeated sends.
+//! Requests for loans from the retry budgets of other hosts.
 //!
-//! An answer counts once, and only while what it lends may be used: one that is doubled, late, or meant for a former
-//! lifetime of this host gives nothing, and what it lent is lost.
+//! An answer counts once, and only while its loan may be used. An answer that is duplicated, late, or meant for a
+//! previous incarnation of this host yields nothing, and its loan is lost.
 
 use super::budget::LOAN_LIFETIME;
 use crate::Name;
@@ -10,107 +10,111 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a host that was lent nothing asks nobody again: where nobody has anything left, asking costs all of them.
-const IN_VAIN: Duration = Duration::from_millis(200);
+/// How long a host asks nobody again after it got no loan. When no host has anything left, requests only cost all of
+/// them.
+const REFUSAL_PAUSE: Duration = Duration::from_millis(200);
 
-/// Asks for a part of the other's budget.
+/// Asks another host for a part of its budget.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// The question's number; comes back in the answer.
+    /// The number of this request, which the answer repeats.
     pub number: u64,
-    /// The service that repeats are sent to.
+    /// The service that retries are sent to.
     pub service: Name,
-    /// What is missing, in thousandths of a repeat.
+    /// The units that are missing for a retry.
     pub missing: u32,
 }
 
-/// The answer to that.
+/// The answer to a [`Request`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loan {
-    /// The question's number.
+    /// The number of the request.
     pub number: u64,
-    /// What is lent, in thousandths of a repeat; `0` where nothing is left.
+    /// The units lent, or `0` if nothing remains.
     pub part: u32,
 }
 
-/// What was lent.
+/// A loan that may be added to the budget.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Deposit {
     /// The service.
     pub service: Name,
-    /// How much, in thousandths of a repeat.
+    /// How many units were lent.
     pub part: u32,
-    /// Until when it may be used.
+    /// Until when they may be used.
     pub until: Time,
 }
 
-/// A question that has no answer yet.
+/// A request that has no answer yet.
 #[derive(Debug)]
-struct Question {
+struct OpenRequest {
     service: Name,
     until: Time,
 }
 
-/// The questions of one host.
+/// The open loan requests of one host.
 #[derive(Debug)]
 pub struct LoanRequests {
-    /// The number of the last one.
-    last: u64,
-    open: BTreeMap<u64, Question>,
-    /// Until when nobody is asked, by service.
-    in_vain: BTreeMap<Name, Time>,
+    /// The number of the last request.
+    last_number: u64,
+    open: BTreeMap<u64, OpenRequest>,
+    /// Until when no request is made, by service.
+    refused_until: BTreeMap<Name, Time>,
 }
 
 impl LoanRequests {
-    /// Starts with no question. Numbers go on from `first`, which is drawn by chance, so that no answer to a former
-    /// lifetime is taken for one to this.
-    pub fn new(first: u64) -> LoanRequests {
+    /// Creates a state without open requests. Numbers continue from `first_number`, which is random, so that an
+    /// answer to a previous incarnation isn't taken for one to this.
+    pub fn new(first_number: u64) -> LoanRequests {
         LoanRequests {
-            last: first,
+            last_number: first_number,
             open: BTreeMap::new(),
-            in_vain: BTreeMap::new(),
+            refused_until: BTreeMap::new(),
         }
     }
 
-    /// Says whether it is worth asking for a service.
+    /// Returns whether a loan may be requested for a service.
     pub fn may_ask(&self, service: &str, now: Time) -> bool {
-        self.in_vain.get(service).is_none_or(|until| *until <= now)
+        self.refused_until
+            .get(service)
+            .is_none_or(|until| *until <= now)
     }
 
-    /// Notes that nobody asked has lent enough.
+    /// Records that none of the hosts that were asked has lent enough.
     pub fn record_refusal(&mut self, service: &Name, now: Time) {
-        self.in_vain.insert(service.clone(), now + IN_VAIN);
+        self.refused_until
+            .insert(service.clone(), now + REFUSAL_PAUSE);
     }
 
-    /// Makes a question.
+    /// Creates a request.
     pub fn ask(&mut self, service: &Name, missing: u32, now: Time) -> Request {
-        self.open.retain(|_, question| question.until >= now);
-        self.last = self.last.wrapping_add(1);
-        let question = Question {
+        self.open.retain(|_, request| request.until >= now);
+        self.last_number = self.last_number.wrapping_add(1);
+        let request = OpenRequest {
             service: service.clone(),
             until: now + LOAN_LIFETIME,
         };
-        self.open.insert(self.last, question);
+        self.open.insert(self.last_number, request);
         Request {
-            number: self.last,
+            number: self.last_number,
             service: service.clone(),
             missing,
         }
     }
 
-    /// Says whether a question has no answer yet.
+    /// Returns whether a request has no answer yet.
     pub fn is_open(&self, number: u64) -> bool {
         self.open.contains_key(&number)
     }
 
-    /// Takes an answer; gives what was lent, if anything was and it may still be used.
+    /// Applies an answer. Returns its loan, if there is one that may still be used.
     pub fn answer(&mut self, loan: Loan, now: Time) -> Option<Deposit> {
-        let question = self.open.remove(&loan.number)?;
-        let counts = question.until >= now && loan.part > 0;
-        counts.then_some(Deposit {
-            service: question.service,
+        let request = self.open.remove(&loan.number)?;
+        let is_usable = request.until >= now && loan.part > 0;
+        is_usable.then_some(Deposit {
+            service: request.service,
             part: loan.part,
-            until: question.until,
+            until: request.until,
         })
     }
 }
--- a/crates/alderglade-core/src/fleet/message.rs
+++ b/crates/alderglade-core/src/fleet/message.rs
@@ -1,6 +1,6 @@
-//! What entry hosts tell each other, each message in one datagram.
+//! The messages between entry hosts, each of which is sent in one datagram.
 //!
-//! None of them is acknowledged or sent again: the next one makes good what was lost.
+//! Messages are neither acknowledged nor sent again: the next one makes up for a lost one.
 
 use super::config::Patch;
 use super::directory::Change;
@@ -19,29 +19,29 @@
 pub enum Message {
     /// What the sender holds at backend servers.
     Notice(Notice),
-    /// As a notice, to be passed on to the hosts of the receiver's group and failure domain.
+    /// A notice that the receiver should forward to the hosts of its group and failure domain.
     NoticeToForward(Notice),
-    /// A notice that a host of the receiver's failure domain passes on.
+    /// A notice that a host of the receiver's failure domain forwards.
     ForwardedNotice(ForwardedNotice),
-    /// The sender wants to know how old the other's word of the store is.
+    /// Asks for the age of the receiver's store state.
     ConfirmationRequest(ConfirmationRequest),
-    /// The answer to that.
+    /// The answer to a `ConfirmationRequest`.
     Confirmation(Confirmation),
-    /// What a host that watches the store has learnt there.
+    /// What a host that watches the store has received from it.
     StoreUpdate(StoreUpdate),
-    /// The same, to be passed on to the hosts of the receiver's group and failure domain.
+    /// A store update that the receiver should forward to the hosts of its group and failure domain.
     StoreUpdateToForward(StoreUpdate),
-    /// The sender asks for a part of the other's budget of repeated sends.
+    /// Asks for a part of the receiver's retry budget.
     LoanRequest(loan::Request),
-    /// The answer to that.
+    /// The answer to a `LoanRequest`.
     Loan(Loan),
-    /// The sender asks the owner of a server's limit for leave to send it one request.
+    /// Asks the owner of a server's limit for a grant to send it one request.
     GrantRequest(rate_limit::Request),
-    /// The answer to that.
+    /// The answer to a `GrantRequest`.
     Grant(Grant),
 }
 
-/// What the store has told.
+/// A change that a watcher has received from the store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum StoreUpdate {
     /// Changes of backend servers.
@@ -57,46 +57,47 @@
 pub struct Host {
     /// Its name.
     pub name: Name,
-    /// Where it takes messages.
+    /// The address at which it receives messages.
     pub address: SocketAddr,
-    /// Its failure domain, if that is known.
+    /// Its failure domain, if known.
     pub domain: Option<Name>,
 }
 
-/// A notice of another host, passed on.
+/// A forwarded notice of another host.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedNotice {
-    /// Where that host is reached.
+    /// The address of that host.
     pub origin: SocketAddr,
-    /// What it tells.
+    /// The notice.
     pub notice: Notice,
 }
 
-/// Asks how old the other's word of the store is.
+/// Asks for the age of the receiver's store state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfirmationRequest {
-    /// The asking host's clock, in microseconds; comes back in the answer.
+    /// The time of the request on the asking host's clock, in microseconds. The answer repeats it.
     pub asked_us: u64,
 }
 
-/// Tells how old the sender's word of the store is.
+/// Reports the age of the sender's store state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Confirmation {
-    /// The question's time, on the clock of the host that asked.
+    /// The time of the request, on the clock of the host that asked.
     pub asked_us: u64,
-    /// The age of the sender's word of the store when it answered; `None` where it has none that counts yet.
+    /// The age of the sender's store state at the time of the answer, or `None` if it has no confirmed state yet.
     pub age: Option<Duration>,
     /// The version of the sender's configuration.
     pub config: u64,
     /// The digest of the servers that the sender knows.
     pub servers: u64,
-    /// How far it knows them.
+    /// The position in the store up to which the sender knows the servers.
     pub position: Position,
 }
 
 impl Confirmation {
-    /// Gives a time, on the clock of the host that asked, up to which the sender knew all that the store
-    /// had accepted, if it knew so. The way there is not known, so the time of the question counts.
+    /// Returns the time, on the clock of the host that asked, up to which the sender knew all that the store had
+    /// accepted, if known. The transit time of the request is unknown, so the age is subtracted from the time at
+    /// which it was sent.
     pub fn at(&self) -> Option<Time> {
         self.age.map(|age| Time(self.asked_us) - age)
     }
@@ -105,29 +106,29 @@
 /// Changes of backend servers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Servers {
-    /// What they follow on.
+    /// The position that the changes follow on.
     pub after: Position,
-    /// How far they are all.
+    /// The position that the complete changes lead to.
     pub position: Position,
-    /// How much longer entries may be missing in the store although their servers live, in
+    /// How much longer entries may be missing from the store although their servers are alive, in
     /// milliseconds.
     pub grace_ms: u32,
-    /// Which part of the changes it is.
+    /// Which part of the changes this is.
     pub fragment: Fragment,
     /// The changes, oldest first.
     pub changes: Vec<Change>,
 }
 
-/// A part of something that no packet holds as a whole.
+/// The index of one part of something that is too large for one packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fragment {
-    /// Its number, from `0`.
+    /// Its index, from `0`.
     pub index: u16,
-    /// How many there are.
+    /// The number of parts.
     pub count: u16,
 }
 
 impl Fragment {
-    /// The only one.
+    /// The only part.
     pub const WHOLE: Fragment = Fragment { index: 0, count: 1 };
 }
--- a/crates/alderglade-core/src/fleet/rate_limit.rs
+++ b/crates/alderglade-core/src/fleet/rate_limit.rs
@@ -1,13 +1,14 @@
-//! Backend servers that take so many requests a second from all hosts together: they name a limit, or they are cold.
+//! Rate limits of backend servers, which hold for the requests of all hosts together.
 //!
-//! Each host hears of a limit in the answers that it gets, and hosts tell each other. One of them, which rendezvous hashing
-//! picks among those that live, owns a limit: it gives out a [`Grant`] for each request, and a host without one sends its
-//! request elsewhere. Nothing is kept beyond the owner's life. Its successor starts with nothing to give, so that what both
-//! have given out stays within what the server takes.
+//! A server is limited if it states a rate or is cold. Each host reads a stated limit from the answers that it gets,
+//! and hosts report limits to each other. One of the live hosts, chosen by rendezvous hashing, owns a limit. It
+//! issues a [`Grant`] for each request, and a host without a grant sends its request elsewhere. The owner's state
+//! isn't stored anywhere else. Its successor starts with an empty bucket, so that what both have granted stays within
+//! the limit.
 //!
-//! What a cold server bears ([`cold`]) is granted in the same way, and the smaller bound counts. It holds for hosts that are cut
-//! off as well, so only an owner that hears of most hosts grants it, and never more than half: hosts that disagree on who the
-//! owner is may ask two.
+//! Requests to cold servers ([`cold`]) are granted in the same way, and the lower of the two limits counts. The limit
+//! must hold during network partitions, too. So only an owner that hears from a majority of the hosts grants requests
+//! to a cold server, and never more than half of its limit: hosts that disagree on the owner may ask two.
 
 mod bucket;
 pub mod cold;
@@ -23,31 +24,31 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How long hosts are told that a server names no limit any more: some of the longest intervals between notices.
-const TOLD_OVER: Duration = Duration::from_secs(10);
-/// How long a limit's owner that grants nothing has a host wait that takes another one for the owner: until both have heard
-/// the same notices.
-const NOT_OWNER: Duration = Duration::from_millis(300);
-/// How long the limit of a server is remembered that is not known any more.
-const REMEMBERED: Duration = Duration::from_secs(60);
-/// What a rate is told in: requests in so many seconds.
-const TOLD_SECONDS: f64 = 1_000.0;
-
-/// A limit, as hosts tell each other.
+/// How long hosts report that a server states no limit any more: several times the longest interval between notices.
+const REMOVAL_REPORT_TIME: Duration = Duration::from_secs(10);
+/// How long a host waits before it asks again if the host that it asked doesn't own the limit. By then both have
+/// received the same notices.
+const NOT_OWNER_WAIT: Duration = Duration::from_millis(300);
+/// How long the limit of a server is kept after the server is no longer known.
+const LIMIT_RETENTION: Duration = Duration::from_secs(60);
+/// The period, in seconds, for which reports count the requests of a rate.
+const REPORT_SECONDS: f64 = 1_000.0;
+
+/// A server's limit, as hosts report it to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitReport {
     /// The server.
     pub server: Key,
-    /// The requests that it takes in a thousand seconds; `0` where it names no limit any more.
+    /// The requests that it accepts in a thousand seconds, or `0` if it states no limit any more.
     pub per_thousand_s: u32,
-    /// How long ago it said so, in milliseconds.
+    /// How long ago it stated this, in milliseconds.
     pub age_ms: u32,
 }
 
 impl LimitReport {
-    /// Tells what is known of a server's limit.
-    fn new(server: Key, known: &Known, now: Time) -> LimitReport {
-        let rate = known.rate.map_or(0.0, |rate| rate.get() * TOLD_SECONDS);
+    /// Creates a report of a server's known limit.
+    fn new(server: Key, known: &KnownLimit, now: Time) -> LimitReport {
+        let rate = known.rate.map_or(0.0, |rate| rate.get() * REPORT_SECONDS);
         let age = now.since(known.as_of).as_millis();
         LimitReport {
             server,
@@ -57,96 +58,97 @@
     }
 
     fn rate(&self) -> Option<Rate> {
-        let number = f64::from(self.per_thousand_s) / TOLD_SECONDS;
+        let number = f64::from(self.per_thousand_s) / REPORT_SECONDS;
         Rate::per_second(number).filter(|_| self.per_thousand_s > 0)
     }
 }
 
-/// Asks the owner of a limit for leave to send one request.
+/// Asks the owner of a limit for a grant to send one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// The question's number; comes back in the answer.
+    /// The number of this request, which the answer repeats.
     pub number: u64,
     /// The host that asks.
     pub host: Name,
     /// The server.
     pub server: Key,
-    /// What it knows of the server's limit, which the owner may not have heard of.
+    /// The limit that the asking host knows, since the owner may not have received it.
     pub report: Option<LimitReport>,
-    /// What it knows of the server's cold spell.
+    /// What the asking host knows of the server's cold period.
     pub cold: Option<cold::ColdReport>,
 }
 
-/// Who owns a limit, as the host sees it that is asked for a grant.
+/// The owner of a limit, as seen by the host that is asked for a grant.
 #[derive(Debug, Clone, Copy)]
 pub struct OwnerView<'a> {
-    /// The host itself.
+    /// The host that is asked.
     pub own: &'a str,
     /// The owner.
     pub owner: &'a str,
-    /// Whether it hears of most of the hosts that there are.
+    /// Whether the host that is asked hears from a majority of the hosts.
     pub majority: bool,
 }
 
-/// The answer to that.
+/// The answer to a [`Request`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The question's number.
+    /// The number of the request.
     pub number: u64,
     /// How long the host should wait before it asks again, in milliseconds; `0` if it may send.
     pub wait_ms: u32,
 }
 
 impl Grant {
-    /// Answers a host that takes another one for the owner.
+    /// Creates the answer of a host that doesn't own the limit.
     pub fn not_owner(request: &Request) -> Grant {
         Grant {
             number: request.number,
-            wait_ms: NOT_OWNER.as_millis() as u32,
+            wait_ms: NOT_OWNER_WAIT.as_millis() as u32,
         }
     }
 
-    /// Gives how long the host should wait; nothing if it may send.
+    /// Returns how long the host should wait; zero if it may send.
     pub fn wait(&self) -> Duration {
         Duration::from_millis(u64::from(self.wait_ms))
     }
 }
 
-/// What is known of one server's limit.
+/// One server's known limit.
 #[derive(Debug)]
-struct Known {
-    /// The limit; `None` where the server names none any more.
+struct KnownLimit {
+    /// The limit, or `None` if the server states none any more.
     rate: Option<Rate>,
-    /// When the server said so, at the earliest for the word that there is none, else at the latest.
+    /// When the server stated this: the latest possible time for a limit, the earliest possible one for its absence.
     as_of: Time,
-    /// Whether this host heard it from the server.
+    /// Whether this host received it from the server itself.
     first_hand: bool,
 }
 
-impl Known {
-    /// Says whether this host tells the others.
-    fn is_told(&self, now: Time) -> bool {
-        let lately = now.since(self.as_of) < TOLD_OVER;
-        self.first_hand && (self.rate.is_some() || lately)
+impl KnownLimit {
+    /// Returns whether this host reports the limit to the others.
+    fn is_reported(&self, now: Time) -> bool {
+        let is_recent = now.since(self.as_of) < REMOVAL_REPORT_TIME;
+        self.first_hand && (self.rate.is_some() || is_recent)
     }
 }
 
-/// The limits that a host knows, and those that it owns.
+/// The limits that a host knows, and the buckets of those that it owns.
 #[derive(Debug, Default)]
 pub struct Limits {
-    known: HashMap<Key, Known>,
+    known: HashMap<Key, KnownLimit>,
     /// The servers that are cold.
     cold: HashMap<Key, Cold>,
     /// Until when this host gets no grant.
-    denied: HashMap<Key, Time>,
-    owned: HashMap<Key, Bucket>,
+    denied_until: HashMap<Key, Time>,
+    buckets: HashMap<Key, Bucket>,
 }
 
 impl Limits {
-    /// Takes what a server says in the answer to a request that was `sent` at a time; says whether that is news.
+    /// Records the limit stated in a server's answer to a request that was `sent` at a time. Returns whether the
+    /// limit changes.
     ///
-    /// The word that there is no limit counts only in an answer that was made after the last one that named it: answers
-    /// pass each other on their way.
+    /// An answer without a limit ends a known one only if its request was sent after the limit was last stated, since
+    /// answers may overtake each other.
     pub fn observe_limit(
         &mut self,
         server: Key,
@@ -154,32 +156,32 @@
         sent: Time,
         now: Time,
     ) -> bool {
-        let before = self.known.get(&server);
-        let before_rate = before.and_then(|known| known.rate);
+        let prior = self.known.get(&server);
+        let prior_rate = prior.and_then(|known| known.rate);
         let as_of = match rate {
             Some(_) => now,
-            None if before.is_some_and(|known| known.rate.is_some() && known.as_of <= sent) => sent,
+            None if prior.is_some_and(|known| known.rate.is_some() && known.as_of <= sent) => sent,
             None => return false,
         };
-        let known = Known {
+        let known = KnownLimit {
             rate,
             as_of,
             first_hand: true,
         };
         self.known.insert(server, known);
-        rate != before_rate
+        rate != prior_rate
     }
 
-    /// Takes another host's word; says whether that is news.
+    /// Applies another host's report. Returns whether the limit changes.
     pub fn apply_report(&mut self, report: &LimitReport, now: Time) -> bool {
         let as_of = now - Duration::from_millis(u64::from(report.age_ms));
-        let before = self.known.get(&report.server);
-        if before.is_some_and(|known| known.as_of >= as_of) {
+        let prior = self.known.get(&report.server);
+        if prior.is_some_and(|known| known.as_of >= as_of) {
             return false;
         }
         let rate = report.rate();
-        let changes = rate != before.and_then(|known| known.rate);
-        let known = Known {
+        let changes = rate != prior.and_then(|known| known.rate);
+        let known = KnownLimit {
             rate,
             as_of,
             first_hand: false,
@@ -188,32 +190,35 @@
         changes
     }
 
-    /// Lists the limits that this host has heard of last from their servers: no more than fit a notice.
+    /// Returns reports of the limits that this host knows first-hand, no more than fit a notice.
     pub fn reports(&self, now: Time) -> Vec<LimitReport> {
         /// Some 300 bytes.
-        const MOST: usize = 24;
-        let known = self.known.iter().filter(|(_, known)| known.is_told(now));
+        const MAX_REPORTS: usize = 24;
+        let known = self
+            .known
+            .iter()
+            .filter(|(_, known)| known.is_reported(now));
         let reports = known.map(|(server, known)| LimitReport::new(*server, known, now));
-        reports.take(MOST).collect()
+        reports.take(MAX_REPORTS).collect()
     }
 
-    /// Takes that a server is cold for a while and bears only so much; says whether it wasn't known to be. `first_hand` says
-    /// whether the server or the store has said so, in which case this host tells the others.
+    /// Records that a server is cold for a while and accepts only `rate`. Returns whether it wasn't known to be cold.
+    /// With `first_hand`, the server or the store has stated so, and this host reports it to the others.
     pub fn observe_cold(
         &mut self,
         server: Key,
         rate: Rate,
-        span: Duration,
+        duration: Duration,
         first_hand: bool,
         now: Time,
     ) -> bool {
-        let news = self.cold_rate(server, now).is_none();
+        let is_new = self.cold_rate(server, now).is_none();
         let cold = self.cold.entry(server).or_default();
-        cold.extend(rate, now + span, first_hand);
-        news && !span.is_zero()
+        cold.extend(rate, now + duration, first_hand);
+        is_new && !duration.is_zero()
     }
 
-    /// Takes another host's word on a cold server; says whether it wasn't known to be cold.
+    /// Applies another host's report of a cold server. Returns whether the server wasn't known to be cold.
     pub fn apply_cold_report(&mut self, report: &cold::ColdReport, now: Time) -> bool {
         let Some(rate) = report.rate() else {
             return false;
@@ -221,57 +226,59 @@
         self.observe_cold(report.server, rate, report.left(), false, now)
     }
 
-    /// Lists the cold servers that this host has heard of from themselves or the store: no more than fit a notice.
+    /// Returns reports of the cold servers that this host knows from themselves or the store, no more than fit a
+    /// notice.
     pub fn cold_reports(&self, now: Time) -> Vec<cold::ColdReport> {
         /// Some 300 bytes.
-        const MOST: usize = 24;
+        const MAX_REPORTS: usize = 24;
         let cold = self.cold.iter();
-        let reports = cold.filter(|(_, cold)| cold.is_told(now));
-        let reports = reports.map(|(server, cold)| cold.tell(*server, now));
-        reports.take(MOST).collect()
+        let reports = cold.filter(|(_, cold)| cold.is_reported(now));
+        let reports = reports.map(|(server, cold)| cold.report(*server, now));
+        reports.take(MAX_REPORTS).collect()
     }
 
-    /// Gives what a cold server bears; `None` where it isn't cold.
+    /// Returns the rate that a cold server accepts, or `None` if it isn't cold.
     fn cold_rate(&self, server: Key, now: Time) -> Option<Rate> {
         self.cold.get(&server)?.rate_at(now)
     }
 
-    /// Gives the limit that a server has named, if it has.
+    /// Returns the limit that a server has stated, if any.
     pub fn rate(&self, server: Key) -> Option<Rate> {
         self.known.get(&server)?.rate
     }
 
-    /// Gives what a server takes now from all hosts together, if there is a bound: its limit, or less where it is cold.
+    /// Returns the rate that a server accepts now from all hosts together: the lower of its stated limit and its cold
+    /// rate, or `None` if it has neither.
     pub fn effective_limit(&self, server: Key, now: Time) -> Option<Rate> {
-        let bounds = [self.rate(server), self.cold_rate(server, now)];
-        let least = |one: Rate, other: Rate| if other < one { other } else { one };
-        bounds.into_iter().flatten().reduce(least)
+        let limits = [self.rate(server), self.cold_rate(server, now)];
+        let lower = |one: Rate, other: Rate| if other < one { other } else { one };
+        limits.into_iter().flatten().reduce(lower)
     }
 
-    /// Gives how many servers have named a limit.
+    /// Returns the number of servers that state a limit.
     pub fn count(&self) -> usize {
         let limited = self.known.values().filter(|known| known.rate.is_some());
         limited.count()
     }
 
-    /// Gives how long this host gets no grant for a server.
+    /// Returns how much longer this host gets no grant for a server.
     pub fn denied_for(&self, server: Key, now: Time) -> Duration {
-        let until = self.denied.get(&server);
-        let left = until.map_or(Duration::ZERO, |until| until.left(now));
-        if left.is_zero() || self.effective_limit(server, now).is_none() {
+        let until = self.denied_until.get(&server);
+        let remaining = until.map_or(Duration::ZERO, |until| until.left(now));
+        if remaining.is_zero() || self.effective_limit(server, now).is_none() {
             return Duration::ZERO;
         }
-        left
+        remaining
     }
 
-    /// Notes that this host should not ask for a grant for a while.
+    /// Records that this host should not ask for a grant for a while.
     pub fn deny(&mut self, server: Key, wait: Duration, now: Time) {
         if self.effective_limit(server, now).is_some() {
-            self.denied.insert(server, now + wait);
+            self.denied_until.insert(server, now + wait);
         }
     }
 
-    /// Makes the question for a grant; gives `None` where there is no bound on what the server takes.
+    /// Creates a request for a grant, or returns `None` if the server has no known limit.
     pub fn request_if_limited(
         &self,
         server: Key,
@@ -283,7 +290,7 @@
         Some(self.request(server, host, number, now))
     }
 
-    /// Makes the question for a grant where the owner may know of a bound that this host doesn't.
+    /// Creates a request for a grant, also if this host knows no limit: the owner may.
     pub fn request(&self, server: Key, host: &Name, number: u64, now: Time) -> Request {
         let known = self.known.get(&server).filter(|known| known.rate.is_some());
         let cold = self.cold.get(&server);
@@ -293,17 +300,20 @@
             host: host.clone(),
             server,
             report: known.map(|known| LimitReport::new(server, known, now)),
-            cold: cold.map(|cold| cold.claim(server, now)),
+            cold: cold.map(|cold| cold.report_to_owner(server, now)),
         }
     }
 
-    /// Takes up a limit that its server has just named, as its owner. Nobody owned it before, so that grants may be given out
-    /// at once: where all servers of a service name limits in the same moment, callers would be refused until then.
+    /// Becomes the owner of a limit that its server has just stated. Nobody owned it before, so grants may be issued
+    /// at once. If all servers of a service state limits at the same moment, callers would otherwise be refused until
+    /// the owner has settled.
     pub fn take_ownership(&mut self, server: Key, now: Time) {
-        self.owned.entry(server).or_insert_with(|| Bucket::new(now));
+        self.buckets
+            .entry(server)
+            .or_insert_with(|| Bucket::new(now));
     }
 
-    /// Answers a host's question.
+    /// Answers a host's request for a grant.
     pub fn grant(&mut self, request: &Request, view: &OwnerView<'_>, now: Time) -> Grant {
         let server = request.server;
         if let Some(report) = &request.report {
@@ -315,15 +325,15 @@
         let is_cold = self.cold_rate(server, now).is_some();
         let wait = match self.effective_limit(server, now) {
             None => Duration::ZERO,
-            Some(_) if view.owner != view.own => NOT_OWNER,
-            Some(_) if is_cold && !view.majority => NOT_OWNER,
+            Some(_) if view.owner != view.own => NOT_OWNER_WAIT,
+            Some(_) if is_cold && !view.majority => NOT_OWNER_WAIT,
             Some(rate) => {
                 let limited = self.rate(server).is_some();
-                let bucket = self.owned.entry(server);
+                let bucket = self.buckets.entry(server);
                 let bucket = bucket.or_insert_with(|| {
-                    // Half of what a cold server bears is left for the owner before.
+                    // The other half of a cold server's limit is reserved for the previous owner.
                     if limited {
-                        Bucket::succeed(now)
+                        Bucket::for_successor(now)
                     } else {
                         Bucket::new(now)
                     }
@@ -331,7 +341,7 @@
                 bucket.take(&request.host, rate, now)
             }
         };
-        // A wait below a millisecond is none that could be told.
+        // Grants carry whole milliseconds. Rounding down to `0` would mean a grant.
         let wait_ms = wait.as_micros().div_ceil(1_000);
         Grant {
             number: request.number,
@@ -339,26 +349,26 @@
         }
     }
 
-    /// Forgets the servers that are not known any more and were not heard of lately: an entry may lapse, and come back in
-    /// the same lifetime.
+    /// Drops the servers that are no longer known and whose limits weren't confirmed recently. An entry may expire
+    /// and return in the same incarnation.
     pub fn retain(&mut self, is_known: impl Fn(Key) -> bool, now: Time) {
         self.known
-            .retain(|server, known| is_known(*server) || now.since(known.as_of) < REMEMBERED);
+            .retain(|server, known| is_known(*server) || now.since(known.as_of) < LIMIT_RETENTION);
         self.cold.retain(|_, cold| cold.rate_at(now).is_some());
-        self.denied.retain(|_, until| *until > now);
+        self.denied_until.retain(|_, until| *until > now);
         let (known, cold) = (&self.known, &self.cold);
-        self.owned
+        self.buckets
             .retain(|server, _| known.contains_key(server) || cold.contains_key(server));
     }
 }
 
-/// Says whether a host that hears of so many, itself among them, hears of most of those that the store has listed. One that
-/// has just started, and has no list yet, can't tell.
+/// Returns whether `heard` hosts, this one included, are a majority of those that the store has listed. A host that
+/// has just started and has no list yet can't tell, and gets `false`.
 pub fn is_majority(heard: usize, listed: Option<usize>) -> bool {
     listed.is_some_and(|listed| 2 * heard > listed)
 }
 
-/// Gives the host that owns a server's limit among some.
+/// Returns which of the hosts owns a server's limit.
 pub fn owner<'a>(server: Key, hosts: impl Iterator<Item = &'a Name>) -> Option<&'a Name> {
     let weight = |host: &&Name| xxh3_64_with_seed(host.as_bytes(), server.number());
     hosts.max_by_key(|host| (weight(host), *host))
--- a/crates/alderglade-core/src/fleet/relay.rs
+++ b/crates/alderglade-core/src/fleet/relay.rs
@@ -1,8 +1,8 @@
-//! Who asks the store: a few hosts of each failure domain watch it, the others go by what these tell.
+//! Decides which hosts query the store: a few hosts of each failure domain watch it, the others follow these watchers.
 //!
-//! Calls to the store are limited and priced, and nearly all of them would tell every host the same.
-//! Nothing rests on the watchers alone: a host that hears too few of them becomes one, and a host
-//! whose knowledge differs or grows old asks the store itself.
+//! Calls to the store are limited and priced, and nearly all of them would return the same to every host.
+//! Correctness doesn't depend on the watchers alone: a host that hears from too few of them becomes one, and a
+//! host whose state differs from theirs or grows stale queries the store itself.
 
 use super::group::Division;
 use crate::Name;
@@ -10,135 +10,140 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Hosts of a failure domain that watch the store, so that one may be lost unnoticed.
+/// Hosts per failure domain that watch the store. With two of them, one may fail without a gap.
 pub const WATCHERS_PER_DOMAIN: usize = 2;
-/// How long a new host listens for others before it takes a role: two heartbeats of watchers, which come every
+/// How long a new host listens for others before it takes a role: two heartbeats of watchers, which are sent every
 /// 250 ms, and time for the store to list the hosts.
 pub const ROLE_DELAY: Duration = Duration::from_millis(700);
-/// How long a host that the store gives no list of hosts waits for it before it listens without.
-const UNLISTED: Duration = Duration::from_millis(2_000);
-/// How much later the next host steps in while there are too few watchers; a heartbeat.
-const STEP_IN: Duration = Duration::from_millis(250);
-/// Hosts that step in so soon. Where they get no answer either, the store is probably away for all, and
-/// more calls help nobody.
-const SOON: usize = 2;
-/// How much later each of the others steps in.
-const STEP_IN_LATE: Duration = Duration::from_millis(1_500);
-/// How long servers may differ from a watcher's before the store is asked; the watcher's own message
-/// about the change comes first.
-const DIFFERENT: Duration = Duration::from_millis(300);
-/// The time between two calls about servers of a host that doesn't watch.
-const AGAIN: Duration = Duration::from_millis(1_000);
-/// The time between two calls of a host that doesn't watch and whose word is old; the watchers' word
-/// comes sooner where they have one.
-const AGAIN_OLD: Duration = Duration::from_millis(2_500);
-/// The part of the bound for keys after which the store's word counts as old.
-const OLD: f64 = 0.72;
-/// The bound where the deployment sets none.
-const NO_BOUND: Duration = Duration::from_millis(5_000);
+/// How long a host waits for the store's list of hosts before it starts to listen without one.
+const HOST_LIST_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Delay between hosts that step in one after the other while there are too few watchers; one heartbeat.
+const STEP_IN_DELAY: Duration = Duration::from_millis(250);
+/// Hosts that step in at the short delay. If they get no answer either, the store is probably unavailable to all
+/// hosts, and more calls don't help.
+const MAX_EARLY_HOSTS: usize = 2;
+/// Delay between the hosts that step in after [`MAX_EARLY_HOSTS`] others.
+const LATE_STEP_IN_DELAY: Duration = Duration::from_millis(1_500);
+/// How long the known servers may differ from a watcher's before the store is queried. The watcher's own
+/// message about the change arrives first.
+const SERVER_MISMATCH_DELAY: Duration = Duration::from_millis(300);
+/// Minimum time between two calls of a follower about servers.
+const FETCH_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Minimum time between two calls of a follower whose state is stale. An update from the watchers arrives sooner
+/// if they have one.
+const STALE_FETCH_INTERVAL: Duration = Duration::from_millis(2_500);
+/// Fraction of the bound for revoked keys after which the store's state counts as stale.
+const STALE_FRACTION: f64 = 0.72;
+/// Bound for revoked keys if the deployment sets none.
+const DEFAULT_KEY_BOUND: Duration = Duration::from_millis(5_000);
 
-/// What a host tells of the store in each of its notices.
+/// What a host reports of the store in each of its notices.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreStatus {
     /// Whether it watches the store, and the store answers.
     pub in_contact: bool,
-    /// The version of its configuration; `0` where it has none.
+    /// The version of its configuration, or `0` if it has none.
     pub config: u64,
     /// The digest of the backend servers that it knows.
     pub servers: u64,
-    /// The store's latest era that it knows of.
+    /// The latest era of the store that it knows.
     pub era: u64,
-    /// How much longer entries may be missing in the store although their servers live, in
+    /// How much longer entries may be missing from the store although their servers are alive, in
     /// milliseconds.
     pub grace_ms: u32,
-    /// How many hosts it knows that there are.
+    /// The number of hosts that it knows.
     pub hosts: u32,
 }
 
-/// A host that was heard of lately.
+/// A host from which a notice was received recently.
 #[derive(Debug, Clone, Copy)]
 pub struct Neighbour<'a> {
     /// Its name.
     pub name: &'a Name,
     /// Its failure domain.
     pub domain: &'a Name,
-    /// Whether it is of the own failure domain.
+    /// Whether it is in the deciding host's failure domain.
     pub same_domain: bool,
-    /// What it tells.
+    /// The store status that it reports.
     pub store: StoreStatus,
 }
 
-/// What the deciding host knows itself, to be held against what its neighbours tell.
+/// The deciding host's own state, which is compared with the reports of its neighbours.
 #[derive(Debug, Clone, Copy)]
 pub struct LocalStatus<'a> {
     /// Its name.
     pub name: &'a str,
     /// Its failure domain.
     pub domain: &'a str,
-    /// Into how many groups the hosts are divided.
+    /// The division of the hosts into groups.
     pub division: Division,
-    /// The version of its configuration; `0` where it has none.
+    /// The version of its configuration, or `0` if it has none.
     pub config: u64,
     /// The digest of the backend servers that it knows.
     pub servers: u64,
-    /// How old its word of the store is.
+    /// The age of its last confirmation by the store, if it has one.
     pub age: Option<Duration>,
-    /// Within which time a key that was taken away must be refused.
+    /// The time within which a revoked key must be refused.
     pub bound: Option<Duration>,
     /// Whether its last call to the store failed.
     pub lost: bool,
-    /// Whether the store has listed the hosts, which hear of this one then.
+    /// Whether the store has listed the hosts. From then on they receive this host's notices.
     pub listed: bool,
 }
 
 impl LocalStatus<'_> {
-    /// Gives the place of a host in the order in which the hosts of its failure domain watch the store: those of one group after
-    /// those of another, and by their names in each.
-    fn place<'a>(&self, host: &'a str) -> (u32, &'a str) {
+    /// Returns the position of a host in the order in which the hosts of its failure domain watch the store. Groups are
+    /// ordered first, then the names in each group.
+    fn rank<'a>(&self, host: &'a str) -> (u32, &'a str) {
         (self.division.precedence(self.domain, host), host)
     }
 
-    /// Lists the hosts one of which is asked at a heartbeat how old its word of the store is: the watchers of the own failure
-    /// domain, where one of them is of the own group. Else two hosts of the group ask them, and the others ask these two, so that
-    /// a watcher isn't asked by all hosts of a large domain.
-    pub fn confirmation_sources<'a>(&self, heard: &[Neighbour<'a>], beat: u64) -> Vec<&'a Name> {
-        /// Heartbeats between two questions to a watcher of the own group.
-        const WATCHER_EVERY: u64 = 3;
-        /// Heartbeats between two questions to a host that asks a watcher at each of its own.
-        const SENIOR_EVERY: u64 = 2;
-        let (turn, name) = self.place(self.name);
-        let near = heard.iter().filter(|host| host.same_domain);
-        let (group, others): (Vec<&Neighbour<'a>>, Vec<_>) =
-            near.partition(|host| self.place(host.name).0 == turn);
+    /// Returns the hosts one of which is asked at this heartbeat for the age of its store state: the watchers of the
+    /// own failure domain if one of them is in the own group. Otherwise the first two hosts of the group ask the
+    /// watchers, and the others ask these two, so that a watcher isn't asked by all hosts of a large domain.
+    pub fn confirmation_sources<'a>(
+        &self,
+        neighbours: &[Neighbour<'a>],
+        beat: u64,
+    ) -> Vec<&'a Name> {
+        /// Heartbeats from one request to a watcher of the own group to the next.
+        const WATCHER_INTERVAL_BEATS: u64 = 3;
+        /// Heartbeats from one request to a host that itself asks a watcher at each heartbeat to the next.
+        const SENIOR_INTERVAL_BEATS: u64 = 2;
+        let (precedence, name) = self.rank(self.name);
+        let same_domain = neighbours.iter().filter(|host| host.same_domain);
+        let (own_group, other_groups): (Vec<&Neighbour<'a>>, Vec<_>) =
+            same_domain.partition(|host| self.rank(host.name).0 == precedence);
         let watchers = |hosts: &[&Neighbour<'a>]| -> Vec<&'a Name> {
             let watchers = hosts.iter().filter(|host| host.store.in_contact);
             watchers.map(|host| host.name).collect()
         };
-        let of_group = watchers(&group);
-        let seniors = group.iter().map(|host| host.name);
+        let group_watchers = watchers(&own_group);
+        let seniors = own_group.iter().map(|host| host.name);
         let mut seniors: Vec<&'a Name> = seniors.filter(|host| ***host < *name).collect();
         seniors.sort_unstable();
-        let (mut sources, every) = if !of_group.is_empty() || self.division.is_single() {
-            (of_group, WATCHER_EVERY)
-        } else if seniors.len() < WATCHERS_PER_DOMAIN {
-            (watchers(&others), 1)
-        } else {
-            seniors.truncate(WATCHERS_PER_DOMAIN);
-            (seniors, SENIOR_EVERY)
-        };
-        if !beat.is_multiple_of(every) {
+        let (mut sources, interval_beats) =
+            if !group_watchers.is_empty() || self.division.is_single() {
+                (group_watchers, WATCHER_INTERVAL_BEATS)
+            } else if seniors.len() < WATCHERS_PER_DOMAIN {
+                (watchers(&other_groups), 1)
+            } else {
+                seniors.truncate(WATCHERS_PER_DOMAIN);
+                (seniors, SENIOR_INTERVAL_BEATS)
+            };
+        if !beat.is_multiple_of(interval_beats) {
             sources.clear();
         }
         sources
     }
 
-    /// Says whether the host can't go by the watchers' word: it is old, or the store gave no answer.
-    fn is_in_doubt(&self) -> bool {
-        self.lost || is_older(self.age, self.bound, OLD)
+    /// Returns whether the host can't rely on the watchers: its state is stale, or its last call to the store failed.
+    fn needs_store(&self) -> bool {
+        self.lost || exceeds_bound(self.age, self.bound, STALE_FRACTION)
     }
 }
 
-/// What the store is asked about.
+/// A part of the store's state that is queried on its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Topic {
     /// The configuration.
@@ -147,18 +152,18 @@
     Servers,
     /// The entry hosts.
     Hosts,
-    /// The requests that are sent to no server any more.
+    /// The requests that are no longer sent to any server.
     Quarantine,
-    /// The failure domains to whose servers nothing new is sent.
+    /// The failure domains whose servers get nothing new.
     Evacuations,
 }
 
-/// How the store is asked.
+/// How the store is queried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreQuery {
-    /// By a watch that waits for the next change.
+    /// With a watch that waits for the next change.
     Watch,
-    /// By a call that is answered at once, after this time.
+    /// With a call that is answered at once, after this delay.
     Fetch(Duration),
 }
 
@@ -168,14 +173,14 @@
     /// Not decided yet.
     #[default]
     Unsettled,
-    /// It watches.
+    /// It watches the store.
     Watcher,
-    /// It goes by the watchers' word.
+    /// It relies on the watchers' reports.
     Follower,
 }
 
 impl Role {
-    /// Gives the name of the role in logs.
+    /// Returns the name of the role in logs.
     pub fn label(self) -> &'static str {
         match self {
             Role::Unsettled => "unsettled",
@@ -185,64 +190,70 @@
     }
 }
 
-/// The role of one host, and what it has asked.
+/// The role of one host, and its recent queries of the store.
 #[derive(Debug, Default)]
 pub struct Relay {
-    /// When it first looked for others.
-    first: Option<Time>,
-    /// When it began to listen for them.
-    began: Option<Time>,
+    /// When the role was first to be decided.
+    first_decision: Option<Time>,
+    /// When the host began to listen for others.
+    listening_since: Option<Time>,
     /// Whether the host watches the store.
     role: Role,
     /// Since when there have been too few watchers.
-    lacking_since: Option<Time>,
+    too_few_since: Option<Time>,
     /// Since when the servers have differed from a watcher's.
-    different_since: Option<Time>,
-    /// When the store was last asked outside of watches.
-    fetched: Option<Time>,
-    /// When it was last asked so for the evacuations.
-    fetched_evacuations: Option<Time>,
-    /// The newer version of the configuration for which it was last asked, and when.
-    fetched_config: Option<(u64, Time)>,
+    mismatch_since: Option<Time>,
+    /// When the store was last queried outside of watches for the configuration or the servers.
+    last_fetch: Option<Time>,
+    /// When it was last queried outside of watches for the evacuations.
+    last_evacuations_fetch: Option<Time>,
+    /// The newer configuration version for which the store was last queried, and when.
+    last_config_fetch: Option<(u64, Time)>,
 }
 
 impl Relay {
-    /// Gives the role.
+    /// Returns the role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Decides the role anew from the hosts heard of. Some of the own failure domain come before this one: it watches where fewer
-    /// than [`WATCHERS_PER_DOMAIN`] of them do, and steps in the later the more they are. Of another group, only hosts that watch are heard;
-    /// as many of each are taken to be there.
+    /// Decides the role again from the hosts heard recently. The host watches if fewer than [`WATCHERS_PER_DOMAIN`]
+    /// hosts that precede it in its failure domain do, and steps in later the more hosts precede it. Only the
+    /// watchers of another group are heard, so that [`WATCHERS_PER_DOMAIN`] hosts are assumed for each group that
+    /// precedes the own.
     pub fn decide_role(
         &mut self,
         own: &LocalStatus<'_>,
-        heard: &[Neighbour<'_>],
+        neighbours: &[Neighbour<'_>],
         now: Time,
     ) -> Role {
-        let first = *self.first.get_or_insert(now);
-        if !own.listed && now.since(first) < UNLISTED {
+        let first_decision = *self.first_decision.get_or_insert(now);
+        if !own.listed && now.since(first_decision) < HOST_LIST_TIMEOUT {
             return self.role;
         }
-        let began = *self.began.get_or_insert(now);
-        if now.since(began) < ROLE_DELAY {
+        let listening_since = *self.listening_since.get_or_insert(now);
+        if now.since(listening_since) < ROLE_DELAY {
             return self.role;
         }
-        let (turn, name) = own.place(own.name);
-        let near = heard.iter().filter(|host| host.same_domain);
-        let places = near.map(|host| (own.place(host.name), host.store.in_contact));
-        let senior = places.filter(|(place, _)| *place < (turn, name));
-        let watchers = senior.clone().filter(|(_, watches)| *watches).count();
-        let of_group = senior.filter(|((other, _), _)| *other == turn).count();
-        let before = of_group + WATCHERS_PER_DOMAIN * turn as usize;
+        let (precedence, name) = own.rank(own.name);
+        let same_domain = neighbours.iter().filter(|host| host.same_domain);
+        let ranked = same_domain.map(|host| (own.rank(host.name), host.store.in_contact));
+        let seniors_of_domain = ranked.filter(|(rank, _)| *rank < (precedence, name));
+        let watchers = seniors_of_domain
+            .clone()
+            .filter(|(_, watches)| *watches)
+            .count();
+        let group_seniors = seniors_of_domain
+            .filter(|((group, _), _)| *group == precedence)
+            .count();
+        let senior_count = group_seniors + WATCHERS_PER_DOMAIN * precedence as usize;
         if watchers >= WATCHERS_PER_DOMAIN {
-            self.lacking_since = None;
+            self.too_few_since = None;
             self.role = Role::Follower;
             return self.role;
         }
-        let since = *self.lacking_since.get_or_insert(now);
-        if before < WATCHERS_PER_DOMAIN || now.since(since) >= step_in(before) {
+        let since = *self.too_few_since.get_or_insert(now);
+        if senior_count < WATCHERS_PER_DOMAIN || now.since(since) >= step_in_delay(senior_count) {
             self.role = Role::Watcher;
         } else if self.role == Role::Unsettled {
             self.role = Role::Follower;
@@ -250,131 +261,133 @@
         self.role
     }
 
-    /// Says whether and how the store should be asked about a topic now. `chance`, from `0.0` to `1.0`,
-    /// spreads the calls of many hosts.
+    /// Returns whether and how the store should be queried for a topic now. `random`, from `0.0` to `1.0`, spreads the
+    /// calls of many hosts.
     pub fn next_query(
         &mut self,
         topic: Topic,
         own: &LocalStatus<'_>,
-        heard: &[Neighbour<'_>],
-        chance: f64,
+        neighbours: &[Neighbour<'_>],
+        random: f64,
         now: Time,
     ) -> Option<StoreQuery> {
-        match self.decide_role(own, heard, now) {
+        match self.decide_role(own, neighbours, now) {
             Role::Unsettled => return None,
             Role::Watcher => return Some(StoreQuery::Watch),
             Role::Follower => {}
         }
         let spread = match topic {
-            Topic::Config => self.config_due(own, heard, now),
-            Topic::Servers => self.servers_due(own, heard, now),
+            Topic::Config => self.config_due(own, neighbours, now),
+            Topic::Servers => self.servers_due(own, neighbours, now),
             Topic::Evacuations => self.evacuations_due(own, now),
             Topic::Hosts | Topic::Quarantine => None,
         };
-        spread.map(|spread| StoreQuery::Fetch(spread.mul_f64(chance)))
+        spread.map(|spread| StoreQuery::Fetch(spread.mul_f64(random)))
     }
 
-    /// Gives the time over which the hosts' calls for the configuration are spread, if one is due.
+    /// Returns the time over which the hosts' calls for the configuration are spread, if one is due.
     fn config_due(
         &mut self,
         own: &LocalStatus<'_>,
-        heard: &[Neighbour<'_>],
+        neighbours: &[Neighbour<'_>],
         now: Time,
     ) -> Option<Duration> {
-        /// Small beside the seconds within which a configuration must be in force; long enough for the
-        /// watchers' message about what has changed to come first.
+        /// Small compared with the seconds within which a configuration must be in force, but long enough for the
+        /// watchers' message with the changes to arrive first.
         const SPREAD: Duration = Duration::from_millis(150);
-        let newest = newest_config(heard).filter(|version| *version > own.config);
+        let newest = newest_config(neighbours).filter(|version| *version > own.config);
         if let Some(version) = newest
-            && self.may_fetch_config(version, now)
+            && self.try_begin_config_fetch(version, now)
         {
             return Some(SPREAD);
         }
-        let due = own.is_in_doubt() && may_fetch(&mut self.fetched, AGAIN_OLD, now);
-        due.then_some(SPREAD)
+        let is_due =
+            own.needs_store() && try_begin_fetch(&mut self.last_fetch, STALE_FETCH_INTERVAL, now);
+        is_due.then_some(SPREAD)
     }
 
-    /// Gives the time over which the hosts' calls for the evacuations are spread, if one is due: watchers tell of each, so that
-    /// only a host that doesn't hear of them asks.
+    /// Returns the time over which the hosts' calls for the evacuations are spread, if one is due. Watchers publish
+    /// every evacuation, so that only a host that doesn't receive their notices has to query the store.
     fn evacuations_due(&mut self, own: &LocalStatus<'_>, now: Time) -> Option<Duration> {
-        /// Small beside the seconds within which an evacuation must be in force.
+        /// Small compared with the seconds within which an evacuation must be in force.
         const SPREAD: Duration = Duration::from_millis(200);
-        let due = own.is_in_doubt() && may_fetch(&mut self.fetched_evacuations, AGAIN_OLD, now);
-        due.then_some(SPREAD)
+        let is_due = own.needs_store()
+            && try_begin_fetch(&mut self.last_evacuations_fetch, STALE_FETCH_INTERVAL, now);
+        is_due.then_some(SPREAD)
     }
 
-    /// Gives the time over which the hosts' calls for the servers are spread, if one is due.
+    /// Returns the time over which the hosts' calls for the servers are spread, if one is due.
     fn servers_due(
         &mut self,
         own: &LocalStatus<'_>,
-        heard: &[Neighbour<'_>],
+        neighbours: &[Neighbour<'_>],
         now: Time,
     ) -> Option<Duration> {
-        /// Small beside the seconds within which a leaving server must get nothing more.
+        /// Small compared with the seconds within which a leaving server must stop receiving work.
         const SPREAD: Duration = Duration::from_millis(200);
-        let mut watchers = heard
+        let mut watchers = neighbours
             .iter()
             .filter(|host| host.same_domain && host.store.in_contact);
         if !watchers.any(|host| host.store.servers != own.servers) {
-            self.different_since = None;
+            self.mismatch_since = None;
             return None;
         }
-        let since = *self.different_since.get_or_insert(now);
-        let due = now.since(since) >= DIFFERENT && may_fetch(&mut self.fetched, AGAIN, now);
-        due.then_some(SPREAD)
+        let since = *self.mismatch_since.get_or_insert(now);
+        let is_due = now.since(since) >= SERVER_MISMATCH_DELAY
+            && try_begin_fetch(&mut self.last_fetch, FETCH_INTERVAL, now);
+        is_due.then_some(SPREAD)
     }
 
-    /// Takes the right to one call for a configuration that a watcher has: the store may not have it, where it has come back
-    /// from a copy of before.
-    fn may_fetch_config(&mut self, version: u64, now: Time) -> bool {
-        let lately = self
-            .fetched_config
-            .is_some_and(|(fetched, at)| fetched == version && now.since(at) < AGAIN);
-        if !lately {
-            self.fetched_config = Some((version, now));
+    /// Returns whether one call may be made for a configuration that a watcher has, and records it. The store itself
+    /// may lack this version if it was restored from an older copy, so that the calls have to be limited.
+    fn try_begin_config_fetch(&mut self, version: u64, now: Time) -> bool {
+        let fetched_recently = self
+            .last_config_fetch
+            .is_some_and(|(fetched, at)| fetched == version && now.since(at) < FETCH_INTERVAL);
+        if !fetched_recently {
+            self.last_config_fetch = Some((version, now));
         }
-        !lately
+        !fetched_recently
     }
 
-    /// Says whether the host's word of the store is so old that it should ask every watcher.
+    /// Returns whether the host's store state is so old that it should ask every watcher to confirm it.
     pub fn is_stale(age: Option<Duration>, bound: Option<Duration>) -> bool {
-        /// Below the age at which the store itself is asked.
-        const EARLIER: f64 = 0.75;
-        is_older(age, bound, OLD * EARLIER)
+        /// Below `1.0`, so that watchers are asked before the store itself is queried.
+        const CONFIRMATION_FACTOR: f64 = 0.75;
+        exceeds_bound(age, bound, STALE_FRACTION * CONFIRMATION_FACTOR)
     }
 }
 
-/// Takes the right to one call outside of watches, if the last one is long enough ago.
-fn may_fetch(last: &mut Option<Time>, pause: Duration, now: Time) -> bool {
-    let may = last.is_none_or(|at| now.since(at) >= pause);
-    if may {
+/// Returns whether one call outside of watches may be made, and records it if so.
+fn try_begin_fetch(last: &mut Option<Time>, interval: Duration, now: Time) -> bool {
+    let is_due = last.is_none_or(|at| now.since(at) >= interval);
+    if is_due {
         *last = Some(now);
     }
-    may
+    is_due
 }
 
-/// Says whether a word of the store is older than a part of the bound for keys, or there is none.
-fn is_older(age: Option<Duration>, bound: Option<Duration>, part: f64) -> bool {
-    let bound = bound.unwrap_or(NO_BOUND);
-    age.is_none_or(|age| age > bound.mul_f64(part))
+/// Returns whether a store state is older than a fraction of the bound for revoked keys, or there is none.
+fn exceeds_bound(age: Option<Duration>, bound: Option<Duration>, fraction: f64) -> bool {
+    let bound = bound.unwrap_or(DEFAULT_KEY_BOUND);
+    age.is_none_or(|age| age > bound.mul_f64(fraction))
 }
 
-/// Says whether a watcher has a newer configuration.
-pub fn is_behind(own: &LocalStatus<'_>, heard: &[Neighbour<'_>]) -> bool {
-    newest_config(heard).is_some_and(|version| version > own.config)
+/// Returns whether a watcher has a newer configuration.
+pub fn is_behind(own: &LocalStatus<'_>, neighbours: &[Neighbour<'_>]) -> bool {
+    newest_config(neighbours).is_some_and(|version| version > own.config)
 }
 
-/// Gives the version of the newest configuration that a watcher has.
-fn newest_config(heard: &[Neighbour<'_>]) -> Option<u64> {
-    let watchers = heard.iter().filter(|host| host.store.in_contact);
+/// Returns the newest configuration version that a watcher has.
+fn newest_config(neighbours: &[Neighbour<'_>]) -> Option<u64> {
+    let watchers = neighbours.iter().filter(|host| host.store.in_contact);
     watchers.map(|host| host.store.config).max()
 }
 
-/// Gives how long there must have been too few watchers before a host steps in that has so many hosts
-/// before it.
-fn step_in(before: usize) -> Duration {
-    let place = (before + 1).saturating_sub(WATCHERS_PER_DOMAIN);
-    let soon = place.min(SOON) as u32;
-    let late = place.saturating_sub(SOON) as u32;
-    STEP_IN * soon + STEP_IN_LATE * late
+/// Returns how long there must have been too few watchers before a host steps in that `senior_count` hosts precede.
+fn step_in_delay(senior_count: usize) -> Duration {
+    let position = (senior_count + 1).saturating_sub(WATCHERS_PER_DOMAIN);
+    let early = position.min(MAX_EARLY_HOSTS) as u32;
+    let late = position.saturating_sub(MAX_EARLY_HOSTS) as u32;
+    STEP_IN_DELAY * early + LATE_STEP_IN_DELAY * late
 }
--- a/crates/alderglade-core/src/fleet/slowdown.rs
+++ b/crates/alderglade-core/src/fleet/slowdown.rs
@@ -1,38 +1,39 @@
-//! Suspects engines of working more slowly than their service states.
+//! Detects engines that seem to work more slowly than their service states.
 //!
-//! The pauses between an answer's events are the engine's passes. One long pass is a prompt that is read; several
-//! in a row are worth a question to the engine, which knows how slow it is.
+//! The pauses between an answer's events are the engine's passes. One long pass is caused by the prefill of a prompt.
+//! Several in a row justify asking the engine, which knows how slow it is.
 //!
-//! An engine that only helps to read shows in no pauses: the first event of a prompt is as late as the slowest of
-//! its engines, and where it is very late, each of them is asked.
+//! An engine that only takes part in the prefill of a prompt shows in no pauses. The first event of a prompt is as
+//! late as the slowest of its engines. If it is very late, each of them is asked.
 
 use std::time::Duration;
 
-/// A pause this many times that of a pass without reading is long. Busy engines read for about as long as their
-/// token steps take.
+/// A pause is long from this multiple of a pass without prefill. Busy engines spend about as much time on prefill
+/// as on their token steps.
 const LONG: f64 = 2.2;
-/// Long pauses in a row that make a suspicion.
+/// The number of long pauses in a row that make an engine suspect.
 const IN_A_ROW: u32 = 3;
-/// An engine that takes this many times the stated times is passed over where others can serve. Less than that is
-/// within what the engines of one service differ by.
+/// An engine with this slowdown, relative to the stated times, is skipped if others can serve. A lower slowdown is
+/// within the normal variation among the engines of one service.
 const SLOW: f64 = 1.5;
 
-/// A first event this many times as late as expected is suspicious: estimates of busy engines are often half too low.
+/// A first event later than this multiple of the estimate is suspicious: estimates of busy engines are often half too
+/// low.
 const LATE: f64 = 2.0;
-/// The time by which it must be later still: about the pass of a long prompt that wasn't known of.
+/// The additional time by which it must be late: about the pass of a long prompt that the estimate didn't include.
 const LATE_BY: Duration = Duration::from_millis(250);
 
-/// Says whether an engine is slow that takes this many times the stated times.
+/// Returns whether an engine with this slowdown, relative to the stated times, is slow.
 pub fn is_slow(slowdown: f64) -> bool {
     slowdown >= SLOW
 }
 
-/// Says whether a prompt's first event took so much longer than expected that one of its engines may be slow.
+/// Returns whether a prompt's first event took so much longer than expected that one of its engines may be slow.
 pub fn is_late(expected: Duration, took: Duration) -> bool {
     took > expected.mul_f64(LATE) + LATE_BY
 }
 
-/// What the pauses of one answer say of its engine.
+/// Detects a slow engine from the pauses of one answer.
 #[derive(Debug, Default)]
 pub struct Suspicion {
     /// Long pauses in a row.
@@ -40,8 +41,8 @@
 }
 
 impl Suspicion {
-    /// Takes a pause and the length of a pass without reading, in the same unit. Returns whether the engine should
-    /// be asked how slow it is.
+    /// Records a pause. `idle_pass` is the length of a pass without prefill, in the same unit. Returns whether the
+    /// engine should be asked how slow it is.
     pub fn note(&mut self, pause: f64, idle_pass: f64) -> bool {
         if pause < LONG * idle_pass {
             self.long = 0;
--- a/crates/alderglade-core/src/fleet/sse.rs
+++ b/crates/alderglade-core/src/fleet/sse.rs
@@ -1,23 +1,23 @@
-//! Cuts a stream of events into whole events, so that a stream can be taken up elsewhere at the
+//! Splits a stream into complete events, so that it can be resumed at another server at the
 //! boundary of an event.
 
-/// A whole event, as its bytes stood.
+/// A complete event, byte for byte.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
     /// Its bytes, with the blank line that ends it.
     pub bytes: Vec<u8>,
-    /// Its id, if it states one.
+    /// Its id, if it has one.
     pub id: Option<String>,
 }
 
-/// Collects bytes and hands out whole events.
+/// Buffers bytes and returns complete events.
 #[derive(Debug, Default)]
 pub struct Splitter {
     rest: Vec<u8>,
 }
 
 impl Splitter {
-    /// Takes bytes and gives the events that are now whole.
+    /// Adds bytes and returns the events that are now complete.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<Event> {
         self.rest.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -29,13 +29,13 @@
         events
     }
 
-    /// Gives the bytes after the last whole event.
+    /// Returns the bytes after the last complete event.
     pub fn rest(&self) -> &[u8] {
         &self.rest
     }
 }
 
-/// Finds the end of the first whole event, behind its blank line.
+/// Returns the end of the first complete event, after its blank line.
 fn boundary(bytes: &[u8]) -> Option<usize> {
     let line_feeds = bytes.windows(2).position(|two| two == b"\n\n");
     let returns = bytes.windows(4).position(|four| four == b"\r\n\r\n");
--- a/crates/alderglade-core/src/fleet/statement.rs
+++ b/crates/alderglade-core/src/fleet/statement.rs
@@ -1,43 +1,43 @@
-//! What a backend server says of itself in an answer, beside the answer.
+//! What a backend server states about itself in an answer, apart from the answer's content.
 
 use std::time::Duration;
 
-/// What one answer says of the server that gave it.
+/// The statement of the server that sent an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Statement {
     /// Whether the server is leaving.
     pub leaving: bool,
-    /// For how long the server wants nothing more from the host that it answers.
+    /// How long the host that receives the answer should send nothing more to the server.
     pub backoff: Option<Duration>,
-    /// The most requests that the server takes, from all hosts together.
+    /// The rate of requests that the server accepts from all hosts together.
     pub rate: Option<Rate>,
-    /// How much longer the server is cold, if it says so.
+    /// How much longer the server is cold, if stated.
     pub cold: Option<Duration>,
 }
 
-/// Requests a second; more than zero.
+/// A positive rate of requests per second.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct Rate(f64);
 
 impl Rate {
-    /// The least rate that is kept to: who takes less gets a request each five seconds, or nobody would learn that it takes
-    /// more again.
+    /// The lowest rate. A server that accepts less still gets a request every five seconds, because otherwise no host
+    /// would learn that it accepts more again.
     const LEAST: f64 = 0.2;
-    /// The greatest rate that is told apart.
+    /// The highest rate; higher ones aren't distinguished.
     const MOST: f64 = 1_000_000.0;
 
-    /// Makes a rate; gives `None` where the number is none.
+    /// Creates a rate, or returns `None` if the number is negative or not a number.
     pub fn per_second(number: f64) -> Option<Rate> {
         let is_rate = number >= 0.0;
         is_rate.then(|| Rate(number.clamp(Rate::LEAST, Rate::MOST)))
     }
 
-    /// Gives the requests a second.
+    /// Returns the requests per second.
     pub fn get(self) -> f64 {
         self.0
     }
 
-    /// Gives the time from one request to the next.
+    /// Returns the time from one request to the next.
     pub fn interval(self) -> Duration {
         Duration::from_secs_f64(1.0 / self.0)
     }
