--- a/crates/alderglade-core/src/fleet/backoff.rs
+++ b/crates/alderglade-core/src/fleet/backoff.rs
@@ -12,30 +12,30 @@
 /// The end of the backoff of each peer.
 #[derive(Debug)]
 pub struct Backoffs<K> {
-    until: HashMap<K, Time>,
+    backoff_end: HashMap<K, Time>,
 }
 
 impl<K> Default for Backoffs<K> {
     fn default() -> Backoffs<K> {
         Backoffs {
-            until: HashMap::new(),
+            backoff_end: HashMap::new(),
         }
     }
 }
 
 impl<K: Hash + Eq> Backoffs<K> {
     /// Starts or extends a peer's backoff. Returns whether the peer had none before.
-    pub fn note(&mut self, who: K, span: Duration, now: Time) -> bool {
-        self.until.retain(|_, until| *until > now);
-        let until = self.until.entry(who).or_insert(now);
-        let was_open = *until <= now;
-        *until = (*until).max(now + span);
-        was_open
+    pub fn note(&mut self, peer: K, duration: Duration, now: Time) -> bool {
+        self.backoff_end.retain(|_, backoff_end| *backoff_end > now);
+        let backoff_end = self.backoff_end.entry(peer).or_insert(now);
+        let had_none = *backoff_end <= now;
+        *backoff_end = (*backoff_end).max(now + duration);
+        had_none
     }
 
     /// Returns how much longer a peer's backoff lasts, or zero if it has none.
-    pub fn left(&self, who: &K, now: Time) -> Duration {
-        let until = self.until.get(who);
-        until.map_or(Duration::ZERO, |until| until.left(now))
+    pub fn left(&self, peer: &K, now: Time) -> Duration {
+        let backoff_end = self.backoff_end.get(peer);
+        backoff_end.map_or(Duration::ZERO, |backoff_end| backoff_end.left(now))
     }
 }
--- a/crates/alderglade-core/src/fleet/caller.rs
+++ b/crates/alderglade-core/src/fleet/caller.rs
@@ -7,21 +7,23 @@
 
 /// The minimum time for which a caller waits for the first or the next event. This and the two factors below are
 /// specified in the platform's documentation for users.
-const LEAST: Duration = Duration::from_millis(2_000);
+const MIN_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// A caller waits for this multiple of the latency objective, if that is longer.
-const AIMS: u32 = 4;
+const OBJECTIVE_FACTOR: u32 = 4;
 /// A caller waits for this multiple of the longest pause of an answer in time, if that is longer.
-const PAUSES: u32 = 8;
+const PAUSE_FACTOR: u32 = 8;
 /// Fraction of the caller's remaining timeout after which a silent server is abandoned. Another server needs the rest
 /// to begin.
-const SILENT: f64 = 0.6;
+const SILENCE_FRACTION: f64 = 0.6;
 
 /// Returns how long a caller waits for the first or the next event.
 pub fn response_timeout(objective: Duration, longest_pause: Duration) -> Duration {
-    LEAST.max(objective * AIMS).max(longest_pause * PAUSES)
+    MIN_TIMEOUT
+        .max(objective * OBJECTIVE_FACTOR)
+        .max(longest_pause * PAUSE_FACTOR)
 }
 
 /// Returns how long a server may be silent if `remaining` is left of the caller's timeout.
-pub fn silence_timeout(left: Duration) -> Duration {
-    left.mul_f64(SILENT)
+pub fn silence_timeout(remaining: Duration) -> Duration {
+    remaining.mul_f64(SILENCE_FRACTION)
 }
--- a/crates/alderglade-core/src/fleet/config.rs
+++ b/crates/alderglade-core/src/fleet/config.rs
@@ -89,10 +89,10 @@
     /// Returns the target for `draw`, a random number from the uniform distribution over `0.0..1.0`.
     pub fn target(&self, draw: f64) -> Option<&Target> {
         let total: f64 = self.targets.iter().map(|target| target.weight).sum();
-        let mut left = draw * total;
+        let mut remaining = draw * total;
         for target in &self.targets {
-            left -= target.weight;
-            if left < 0.0 {
+            remaining -= target.weight;
+            if remaining < 0.0 {
                 return Some(target);
             }
         }
@@ -192,9 +192,10 @@
         for list in by_host.values_mut() {
             sort_routes(list);
         }
-        let named = workspaces.iter().flatten();
-        let named = named.filter(|workspace| !workspace.regions.is_empty());
-        let regions = named.map(|workspace| (workspace.name.clone(), workspace.regions.clone()));
+        let restricted = workspaces.iter().flatten();
+        let restricted = restricted.filter(|workspace| !workspace.regions.is_empty());
+        let regions =
+            restricted.map(|workspace| (workspace.name.clone(), workspace.regions.clone()));
         let regions = regions.collect();
         Config {
             version,
@@ -218,8 +219,8 @@
     /// Returns the pauses that answers of a service tolerate, from the routes that lead to it.
     pub fn pauses(&self, service: &str) -> Pauses {
         let routes = self.routes.values().flatten();
-        let own = routes.filter(|route| route.targets.iter().any(|to| &*to.service == service));
-        Pauses::of(own.filter_map(|route| route.kind.longest_pause()))
+        let leading = routes.filter(|route| route.targets.iter().any(|to| &*to.service == service));
+        Pauses::of(leading.filter_map(|route| route.kind.longest_pause()))
     }
 
     /// Returns the services.
--- a/crates/alderglade-core/src/fleet/config/patch.rs
+++ b/crates/alderglade-core/src/fleet/config/patch.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    fn names(&self, route: &Route) -> bool {
+    fn matches(&self, route: &Route) -> bool {
         *self.host == *route.host
             && *self.path_prefix == *route.path_prefix
             && *self.name == *route.name
@@ -75,8 +75,8 @@
         }
         let (before, after) = (route_index(old), route_index(new));
         let (old_keys, new_keys) = (key_index(old), key_index(new));
-        let gone = before.keys().filter(|key| !after.contains_key(*key));
-        let fresh = after
+        let removed = before.keys().filter(|key| !after.contains_key(*key));
+        let changed = after
             .iter()
             .filter(|(key, route)| before.get(*key) != Some(*route));
         let services = new.services.values();
@@ -91,8 +91,8 @@
             base: old.version,
             version: new.version,
             limits: new.limits,
-            dropped_routes: gone.cloned().collect(),
-            routes: fresh.map(|(_, route)| (*route).clone()).collect(),
+            dropped_routes: removed.cloned().collect(),
+            routes: changed.map(|(_, route)| (*route).clone()).collect(),
             dropped_services: dropped_services.cloned().collect(),
             services: services.cloned().collect(),
             dropped_keys: dropped_keys.cloned().collect(),
@@ -124,7 +124,7 @@
         let changed = patch.routes.iter().map(RouteKey::of);
         for key in patch.dropped_routes.iter().cloned().chain(changed) {
             if let Some(list) = next.routes.get_mut(&key.host) {
-                list.retain(|route| !key.names(route));
+                list.retain(|route| !key.matches(route));
             }
         }
         for route in &patch.routes {
--- a/crates/alderglade-core/src/fleet/health.rs
+++ b/crates/alderglade-core/src/fleet/health.rs
@@ -20,25 +20,25 @@
 use witness::Witnesses;
 
 /// The ejection time after the first failure to reach a server.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
+const BASE_EJECTION_TIME: Duration = Duration::from_millis(500);
 /// The longest ejection time. It is short enough to find a server that has recovered within two seconds.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(2);
 /// How long a server is ejected that refuses work or is slow. Most servers that refuse work are leaving, which the
 /// store reports within this time unless it is unavailable. Slow servers are checked again before it is over.
-const EJECTED_FOR: Duration = Duration::from_secs(3);
+const STATED_EJECTION_TIME: Duration = Duration::from_secs(3);
 /// A peer's report that ends later than this host's own finding by no more than this counts as equally old, because
 /// of its time in transit. Small compared with the time after which a slow server is checked again.
-const ON_ITS_WAY: Duration = Duration::from_millis(200);
+const TRANSIT_TOLERANCE: Duration = Duration::from_millis(200);
 /// Minimum time between two slowness checks of a server that isn't known to be slow. They cost as much as health
 /// checks.
-const QUESTIONS_APART: Duration = Duration::from_secs(3);
-/// How long peers are told that the last request to a server got no answer. A server that is only tried again after
-/// this time gets two requests in it.
-const TOLD_UNANSWERED: Duration = Duration::from_secs(2);
+const SLOWNESS_CHECK_INTERVAL: Duration = Duration::from_secs(3);
+/// How long peers are told that the last request to a server got no answer. After this
+/// time a failing server is tried again, which costs two requests in each such period.
+const UNANSWERED_REPORT_TIME: Duration = Duration::from_secs(2);
 /// Weight of the newest result in the failure rate.
-const NEWEST: f64 = 0.15;
+const NEWEST_RESULT_WEIGHT: f64 = 0.15;
 /// Failure rate above which a server counts as failing.
-const FAILING: f64 = 0.3;
+const FAILURE_RATE_THRESHOLD: f64 = 0.3;
 
 /// How a call to a server ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -59,40 +59,40 @@
 #[derive(Debug, Default)]
 struct Record {
     /// The share of recent calls that failed, weighted towards the newest.
-    failures: f64,
+    failure_rate: f64,
     /// Calls in a row that could not reach it or got no answer.
     silences: u32,
     /// Until when it is ejected because of this host's own calls.
-    out_until: Time,
+    own_ejected_until: Time,
     /// Whether the last of these calls found that nothing listens at its address.
     closed: bool,
     /// When the last call ended without an answer, if no later one was answered.
-    unanswered: Option<Time>,
+    unanswered_at: Option<Time>,
     /// Until when it is ejected because a server stated that it refuses work or is slow.
-    ejected_until: Time,
+    stated_ejected_until: Time,
     /// Whether a server stated this to this host, and not to a peer that reported it.
     first_hand: bool,
     /// When this host last began to check it for slowness.
-    asked: Option<Time>,
+    checked_at: Option<Time>,
 }
 
 impl Record {
     /// Returns whether the server is ejected now because a server stated that it refuses work or is slow.
     fn is_ejected(&self, now: Time) -> bool {
-        self.ejected_until > now
+        self.stated_ejected_until > now
     }
 
     /// Returns whether the last call ended a short while ago without an answer.
     fn is_unanswered(&self, now: Time) -> bool {
-        self.unanswered
-            .is_some_and(|at| now.since(at) < TOLD_UNANSWERED)
+        self.unanswered_at
+            .is_some_and(|at| now.since(at) < UNANSWERED_REPORT_TIME)
     }
 
     /// Returns the ejection that this host reports to its peers, if any.
-    fn told(&self, server: Key, now: Time) -> Option<Ejection> {
-        let closed = self.out_until.left(now);
+    fn ejection_to_report(&self, server: Key, now: Time) -> Option<Ejection> {
+        let closed = self.own_ejected_until.left(now);
         let closed = if self.closed { closed } else { Duration::ZERO };
-        let refusing = self.ejected_until.left(now);
+        let refusing = self.stated_ejected_until.left(now);
         let refusing = if self.first_hand {
             refusing
         } else {
@@ -116,9 +116,9 @@
 }
 
 /// Returns the ejection time after a number of silent calls in a row.
-fn pause_after(silences: u32) -> Duration {
-    let pause = FIRST_PAUSE.saturating_mul(silences);
-    pause.min(LONGEST_PAUSE)
+fn ejection_time(silences: u32) -> Duration {
+    let time = BASE_EJECTION_TIME.saturating_mul(silences);
+    time.min(MAX_EJECTION_TIME)
 }
 
 /// The health records of all servers, by incarnation: a server that restarts begins without a record.
@@ -134,20 +134,20 @@
     pub fn record(&mut self, server: Key, outcome: Outcome, now: Time) {
         let record = self.records.entry(server).or_default();
         let failed = if outcome == Outcome::Sound { 0.0 } else { 1.0 };
-        record.failures += NEWEST * (failed - record.failures);
+        record.failure_rate += NEWEST_RESULT_WEIGHT * (failed - record.failure_rate);
         record.closed = outcome == Outcome::Closed;
-        let unanswered = matches!(outcome, Outcome::Broken | Outcome::Silent);
-        record.unanswered = unanswered.then_some(now);
+        let is_unanswered = matches!(outcome, Outcome::Broken | Outcome::Silent);
+        record.unanswered_at = is_unanswered.then_some(now);
         match outcome {
             Outcome::Sound => record.silences = 0,
             Outcome::Failed | Outcome::Broken => {
-                if record.failures > FAILING {
-                    record.out_until = now + FIRST_PAUSE;
+                if record.failure_rate > FAILURE_RATE_THRESHOLD {
+                    record.own_ejected_until = now + BASE_EJECTION_TIME;
                 }
             }
             Outcome::Silent | Outcome::Closed => {
                 record.silences += 1;
-                record.out_until = now + pause_after(record.silences);
+                record.own_ejected_until = now + ejection_time(record.silences);
             }
         }
     }
@@ -155,20 +155,20 @@
     /// Ejects a server because a server stated to this host that another one refuses work, or that it is slow itself.
     pub fn eject(&mut self, server: Key, now: Time) {
         let record = self.records.entry(server).or_default();
-        record.ejected_until = now + EJECTED_FOR;
+        record.stated_ejected_until = now + STATED_EJECTION_TIME;
         record.first_hand = true;
     }
 
     /// Returns whether this host should check a server for slowness now, and records the check if so.
     pub fn begin_slowness_check(&mut self, server: Key, now: Time) -> bool {
         let record = self.records.entry(server).or_default();
-        let lately = record
-            .asked
-            .is_some_and(|at| now.since(at) < QUESTIONS_APART);
-        if lately || record.is_ejected(now) {
+        let recently_checked = record
+            .checked_at
+            .is_some_and(|at| now.since(at) < SLOWNESS_CHECK_INTERVAL);
+        if recently_checked || record.is_ejected(now) {
             return false;
         }
-        record.asked = Some(now);
+        record.checked_at = Some(now);
         true
     }
 
@@ -182,16 +182,16 @@
 
     /// Applies a peer's report that a server is to be ejected.
     pub fn apply_ejection(&mut self, ejection: &Ejection, now: Time) {
-        let left = Duration::from_millis(u64::from(ejection.left_ms)).min(EJECTED_FOR);
+        let left = Duration::from_millis(u64::from(ejection.left_ms)).min(STATED_EJECTION_TIME);
         let until = now + left;
         let record = self.records.entry(ejection.server).or_default();
-        let as_old = if record.first_hand {
-            ON_ITS_WAY
+        let tolerance = if record.first_hand {
+            TRANSIT_TOLERANCE
         } else {
             Duration::ZERO
         };
-        if until > record.ejected_until + as_old {
-            record.ejected_until = until;
+        if until > record.stated_ejected_until + tolerance {
+            record.stated_ejected_until = until;
             record.first_hand = false;
         }
     }
@@ -200,24 +200,28 @@
     /// notice beside the holdings.
     pub fn ejections_to_report(&self, now: Time) -> Vec<Ejection> {
         /// Some 300 bytes.
-        const MOST: usize = 32;
+        const MAX_REPORTS: usize = 32;
         let records = self.records.iter();
-        let told = records.filter_map(|(server, record)| record.told(*server, now));
-        told.take(MOST).collect()
+        let reports =
+            records.filter_map(|(server, record)| record.ejection_to_report(*server, now));
+        reports.take(MAX_REPORTS).collect()
     }
 
     /// Returns the servers whose last answer to this host is missing, as reported to peers: no more than fit a notice.
     pub fn unanswered_to_report(&self, now: Time) -> Vec<Key> {
         /// Some 100 bytes.
-        const MOST: usize = 16;
+        const MAX_REPORTS: usize = 16;
         let records = self.records.iter();
-        let told = records.filter(|(_, record)| record.is_unanswered(now));
-        told.map(|(server, _)| *server).take(MOST).collect()
+        let reports = records.filter(|(_, record)| record.is_unanswered(now));
+        reports
+            .map(|(server, _)| *server)
+            .take(MAX_REPORTS)
+            .collect()
     }
 
     /// Applies another host's full list of the servers whose last answer to it is missing.
     pub fn apply_unanswered(&mut self, host: &Name, domain: &Name, servers: &[Key], now: Time) {
-        self.witnesses.hear(host, domain, servers, now);
+        self.witnesses.apply_report(host, domain, servers, now);
     }
 
     /// Returns the number of servers that are ejected because a server stated that they refuse work or are slow.
@@ -229,20 +233,21 @@
     /// Returns whether a host of `own_domain` should skip a server now if others can serve.
     pub fn is_suspect(&self, server: Key, own_domain: &str, now: Time) -> bool {
         let record = self.records.get(&server);
-        let out = record.is_some_and(|record| record.out_until > now || record.is_ejected(now));
+        let is_ejected =
+            record.is_some_and(|record| record.own_ejected_until > now || record.is_ejected(now));
         let seen = record.is_some_and(|record| record.is_unanswered(now));
-        out || self.witnesses.doubt(server, own_domain, seen, now)
+        is_ejected || self.witnesses.is_suspect(server, own_domain, seen, now)
     }
 
     /// Returns the share of a server's recent calls that failed, from `0.0` to `1.0`.
     pub fn failing(&self, server: Key) -> f64 {
         self.records
             .get(&server)
-            .map_or(0.0, |record| record.failures)
+            .map_or(0.0, |record| record.failure_rate)
     }
 
     /// Drops the servers that are no longer listed.
-    pub fn retain(&mut self, known: impl Fn(Key) -> bool) {
-        self.records.retain(|server, _| known(*server));
+    pub fn retain(&mut self, is_listed: impl Fn(Key) -> bool) {
+        self.records.retain(|server, _| is_listed(*server));
     }
 }
--- a/crates/alderglade-core/src/fleet/health/witness.rs
+++ b/crates/alderglade-core/src/fleet/health/witness.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// How long a host's report counts. Longer than the longest heartbeat interval, after which it is repeated.
-const COUNTS: Duration = Duration::from_millis(1_500);
+const REPORT_LIFETIME: Duration = Duration::from_millis(1_500);
 
 /// A host that has reported a server.
 #[derive(Debug)]
@@ -30,10 +30,11 @@
 
 impl Witnesses {
     /// Applies the full list of servers that a host reports now. Its earlier reports of other servers end.
-    pub(super) fn hear(&mut self, host: &Name, domain: &Name, servers: &[Key], now: Time) {
+    pub(super) fn apply_report(&mut self, host: &Name, domain: &Name, servers: &[Key], now: Time) {
         for (server, witnesses) in &mut self.by_server {
-            let told = servers.contains(server);
-            witnesses.retain(|witness| witness.until > now && (told || witness.host != *host));
+            let still_reported = servers.contains(server);
+            witnesses
+                .retain(|witness| witness.until > now && (still_reported || witness.host != *host));
         }
         self.by_server.retain(|_, witnesses| !witnesses.is_empty());
         for server in servers {
@@ -42,26 +43,26 @@
             witnesses.push(Witness {
                 host: host.clone(),
                 domain: domain.clone(),
-                until: now + COUNTS,
+                until: now + REPORT_LIFETIME,
             });
         }
     }
 
     /// Returns whether a server is suspect by the hosts' reports, and by what this host in `own_domain` has `seen`
     /// itself.
-    pub(super) fn doubt(&self, server: Key, own_domain: &str, seen: bool, now: Time) -> bool {
+    pub(super) fn is_suspect(&self, server: Key, own_domain: &str, seen: bool, now: Time) -> bool {
         let Some(witnesses) = self.by_server.get(&server) else {
             return false;
         };
         let witnesses = witnesses.iter().filter(|witness| witness.until > now);
-        let near = witnesses
+        let same_domain = witnesses
             .clone()
             .filter(|witness| *witness.domain == *own_domain);
-        if near.count() + usize::from(seen) >= 2 {
+        if same_domain.count() + usize::from(seen) >= 2 {
             return true;
         }
-        let own = seen.then_some(own_domain);
-        let mut domains = witnesses.map(|witness| &*witness.domain).chain(own);
+        let own_domain = seen.then_some(own_domain);
+        let mut domains = witnesses.map(|witness| &*witness.domain).chain(own_domain);
         let first = domains.next();
         domains.any(|domain| Some(domain) != first)
     }
--- a/crates/alderglade-core/src/fleet/heartbeat.rs
+++ b/crates/alderglade-core/src/fleet/heartbeat.rs
@@ -13,16 +13,16 @@
 pub const MAX_INTERVAL: Duration = Duration::from_millis(1_000);
 /// What each host adds to the interval, so that with up to a hundred hosts each sends at most a hundred
 /// heartbeats per second.
-const PER_HOST: Duration = Duration::from_millis(10);
+const INTERVAL_PER_HOST: Duration = Duration::from_millis(10);
 /// Intervals without a notice after which a host's holdings expire. One of them allows for a notice in transit.
-const LAPSE: u32 = 5;
+const EXPIRY_INTERVALS: u32 = 5;
 /// Intervals without a notice after which a host no longer counts as live: two, and more than half of another for a
 /// notice in transit.
-const HEARD: f64 = 2.6;
+const LIVENESS_INTERVALS: f64 = 2.6;
 /// Minimum time between two full notices, which contain all that a host holds.
-const LEAST_WHOLE: Duration = Duration::from_millis(1_000);
+const MIN_FULL_NOTICE_INTERVAL: Duration = Duration::from_millis(1_000);
 /// The same in intervals, which applies if it is longer.
-const WHOLE_INTERVALS: f64 = 2.5;
+const FULL_NOTICE_INTERVALS: f64 = 2.5;
 /// How long full notices report placed prompts: in two notices at the longest interval.
 pub const PLACED_REPORT_TIME: Duration = Duration::from_millis(5_000);
 
@@ -33,24 +33,24 @@
         return MIN_INTERVAL;
     }
     let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
-    PER_HOST
+    INTERVAL_PER_HOST
         .saturating_mul(hosts)
         .clamp(MIN_INTERVAL, MAX_INTERVAL)
 }
 
 /// Returns the time without a notice after which a host with this interval counts as dead, and its holdings expire.
 pub fn expiry(interval: Duration) -> Duration {
-    interval.max(MIN_INTERVAL) * LAPSE
+    interval.max(MIN_INTERVAL) * EXPIRY_INTERVALS
 }
 
 /// Returns the time without a notice after which a host with this interval no longer counts as live.
 pub fn liveness_timeout(interval: Duration) -> Duration {
-    interval.max(MIN_INTERVAL).mul_f64(HEARD)
+    interval.max(MIN_INTERVAL).mul_f64(LIVENESS_INTERVALS)
 }
 
 /// Returns the time between two full notices of a host with this interval.
-fn whole(interval: Duration) -> Duration {
-    LEAST_WHOLE.max(interval.mul_f64(WHOLE_INTERVALS))
+fn full_notice_interval(interval: Duration) -> Duration {
+    MIN_FULL_NOTICE_INTERVAL.max(interval.mul_f64(FULL_NOTICE_INTERVALS))
 }
 
 /// What a host should send to its peers now.
@@ -66,26 +66,27 @@
 #[derive(Debug, Default)]
 pub struct Schedule {
     /// Its last notice of any kind.
-    told: Option<Time>,
+    last_notice: Option<Time>,
     /// Its last full notice.
-    whole: Option<Time>,
+    last_full_notice: Option<Time>,
 }
 
 impl Schedule {
     /// Returns which notice is due, if heartbeats are sent every `interval`.
     pub fn due(&self, interval: Duration, now: Time) -> Option<Due> {
-        let over = |last: Option<Time>, span| last.is_none_or(|at| now.since(at) >= span);
-        if over(self.whole, whole(interval)) {
+        let is_over =
+            |last: Option<Time>, duration| last.is_none_or(|at| now.since(at) >= duration);
+        if is_over(self.last_full_notice, full_notice_interval(interval)) {
             return Some(Due::Whole);
         }
-        over(self.told, interval).then_some(Due::Changes)
+        is_over(self.last_notice, interval).then_some(Due::Changes)
     }
 
     /// Records that a notice is sent now.
     pub fn note(&mut self, due: Due, now: Time) {
-        self.told = Some(now);
+        self.last_notice = Some(now);
         if due == Due::Whole {
-            self.whole = Some(now);
+            self.last_full_notice = Some(now);
         }
     }
 }
--- a/crates/alderglade-core/src/fleet/life.rs
+++ b/crates/alderglade-core/src/fleet/life.rs
@@ -72,20 +72,20 @@
 impl Life<Sent> {
     /// Records that no byte of the request was sent.
     pub fn never_sent(self) -> Life<Waiting> {
-        self.back(false)
+        self.wait_again(false)
     }
 
     /// Records that the server stated that it did not run the request.
     pub fn disclaimed(self) -> Life<Waiting> {
-        self.back(false)
+        self.wait_again(false)
     }
 
     /// Records that the request ran, or that it is unknown whether it did.
     pub fn lost(self) -> Life<Waiting> {
-        self.back(true)
+        self.wait_again(true)
     }
 
-    fn back(self, may_have_run: bool) -> Life<Waiting> {
+    fn wait_again(self, may_have_run: bool) -> Life<Waiting> {
         Life {
             state: Waiting {
                 may_have_run: self.state.may_have_run || may_have_run,
--- a/crates/alderglade-core/src/fleet/rate_limit.rs
+++ b/crates/alderglade-core/src/fleet/rate_limit.rs
@@ -349,8 +349,8 @@
         }
     }
 
-    /// Drops the servers that are no longer known and whose limits weren't confirmed recently. An entry may expire
-    /// and return in the same incarnation.
+    /// Drops the servers that are no longer known, except those whose limits were reported recently: a server's entry
+    /// may expire and return in the same incarnation.
     pub fn retain(&mut self, is_known: impl Fn(Key) -> bool, now: Time) {
         self.known
             .retain(|server, known| is_known(*server) || now.since(known.as_of) < LIMIT_RETENTION);
@@ -362,10 +362,10 @@
     }
 }
 
-/// Returns whether `heard` hosts, this one included, are a majority of those that the store has listed. A host that
+/// Returns whether `live` hosts, this one included, are a majority of those that the store has listed. A host that
 /// has just started and has no list yet can't tell, and gets `false`.
-pub fn is_majority(heard: usize, listed: Option<usize>) -> bool {
-    listed.is_some_and(|listed| 2 * heard > listed)
+pub fn is_majority(live: usize, listed: Option<usize>) -> bool {
+    listed.is_some_and(|listed| 2 * live > listed)
 }
 
 /// Returns which of the hosts owns a server's limit.
--- a/crates/alderglade-core/src/fleet/rate_limit/bucket.rs
+++ b/crates/alderglade-core/src/fleet/rate_limit/bucket.rs
@@ -12,7 +12,7 @@
 const SETTLE_TIME: Duration = heartbeat::MAX_INTERVAL;
 /// The time for which unused grants accumulate.
 const ACCUMULATION_TIME: Duration = Duration::from_millis(250);
-/// The longest wait for a grant that a host is assigned. Other hosts may need no grant any more by then.
+/// The longest wait for a grant that a host is assigned. Hosts ahead of it may need no grant any more by then.
 const MAX_WAIT: Duration = Duration::from_secs(5);
 
 /// The grants of one limit.
--- a/crates/alderglade-core/src/fleet/relay.rs
+++ b/crates/alderglade-core/src/fleet/relay.rs
@@ -1,4 +1,4 @@
-//! Decides which hosts query the store: a few hosts of each failure domain watch it, the others follow these watchers.
+//! Decides which hosts query the store: a few hosts of each failure domain watch it, the others rely on these watchers.
 //!
 //! Calls to the store are limited and priced, and nearly all of them would return the same to every host.
 //! Correctness doesn't depend on the watchers alone: a host that hears from too few of them becomes one, and a
@@ -81,7 +81,7 @@
     pub config: u64,
     /// The digest of the backend servers that it knows.
     pub servers: u64,
-    /// The age of its last confirmation by the store, if it has one.
+    /// The age of its store state, if it has one.
     pub age: Option<Duration>,
     /// The time within which a revoked key must be refused.
     pub bound: Option<Duration>,
@@ -98,7 +98,7 @@
         (self.division.precedence(self.domain, host), host)
     }
 
-    /// Returns the hosts one of which is asked at this heartbeat for the age of its store state: the watchers of the
+    /// Returns the hosts of which one is asked at this heartbeat for the age of its store state: the watchers of the
     /// own failure domain if one of them is in the own group. Otherwise the first two hosts of the group ask the
     /// watchers, and the others ask these two, so that a watcher isn't asked by all hosts of a large domain.
     pub fn confirmation_sources<'a>(
@@ -108,7 +108,7 @@
     ) -> Vec<&'a Name> {
         /// Heartbeats from one request to a watcher of the own group to the next.
         const WATCHER_INTERVAL_BEATS: u64 = 3;
-        /// Heartbeats from one request to a host that itself asks a watcher at each heartbeat to the next.
+        /// Heartbeats from one request to a senior host, which itself asks a watcher at each heartbeat, to the next.
         const SENIOR_INTERVAL_BEATS: u64 = 2;
         let (precedence, name) = self.rank(self.name);
         let same_domain = neighbours.iter().filter(|host| host.same_domain);
--- a/crates/alderglade-core/src/fleet/slowdown.rs
+++ b/crates/alderglade-core/src/fleet/slowdown.rs
@@ -10,45 +10,45 @@
 
 /// A pause is long from this multiple of a pass without prefill. Busy engines spend about as much time on prefill
 /// as on their token steps.
-const LONG: f64 = 2.2;
+const LONG_PAUSE_FACTOR: f64 = 2.2;
 /// The number of long pauses in a row that make an engine suspect.
-const IN_A_ROW: u32 = 3;
+const SUSPICIOUS_PAUSES: u32 = 3;
 /// An engine with this slowdown, relative to the stated times, is skipped if others can serve. A lower slowdown is
 /// within the normal variation among the engines of one service.
-const SLOW: f64 = 1.5;
+const SLOW_FACTOR: f64 = 1.5;
 
 /// A first event later than this multiple of the estimate is suspicious: estimates of busy engines are often half too
 /// low.
-const LATE: f64 = 2.0;
+const LATE_FACTOR: f64 = 2.0;
 /// The additional time by which it must be late: about the pass of a long prompt that the estimate didn't include.
-const LATE_BY: Duration = Duration::from_millis(250);
+const LATE_MARGIN: Duration = Duration::from_millis(250);
 
 /// Returns whether an engine with this slowdown, relative to the stated times, is slow.
 pub fn is_slow(slowdown: f64) -> bool {
-    slowdown >= SLOW
+    slowdown >= SLOW_FACTOR
 }
 
 /// Returns whether a prompt's first event took so much longer than expected that one of its engines may be slow.
 pub fn is_late(expected: Duration, took: Duration) -> bool {
-    took > expected.mul_f64(LATE) + LATE_BY
+    took > expected.mul_f64(LATE_FACTOR) + LATE_MARGIN
 }
 
 /// Detects a slow engine from the pauses of one answer.
 #[derive(Debug, Default)]
 pub struct Suspicion {
     /// Long pauses in a row.
-    long: u32,
+    long_pauses: u32,
 }
 
 impl Suspicion {
     /// Records a pause. `idle_pass` is the length of a pass without prefill, in the same unit. Returns whether the
     /// engine should be asked how slow it is.
     pub fn note(&mut self, pause: f64, idle_pass: f64) -> bool {
-        if pause < LONG * idle_pass {
-            self.long = 0;
+        if pause < LONG_PAUSE_FACTOR * idle_pass {
+            self.long_pauses = 0;
             return false;
         }
-        self.long += 1;
-        self.long.is_multiple_of(IN_A_ROW)
+        self.long_pauses += 1;
+        self.long_pauses.is_multiple_of(SUSPICIOUS_PAUSES)
     }
 }
--- a/crates/alderglade-core/src/fleet/sse.rs
+++ b/crates/alderglade-core/src/fleet/sse.rs
@@ -37,9 +37,9 @@
 
 /// Returns the end of the first complete event, after its blank line.
 fn boundary(bytes: &[u8]) -> Option<usize> {
-    let line_feeds = bytes.windows(2).position(|two| two == b"\n\n");
-    let returns = bytes.windows(4).position(|four| four == b"\r\n\r\n");
-    match (line_feeds, returns) {
+    let lf_break = bytes.windows(2).position(|window| window == b"\n\n");
+    let crlf_break = bytes.windows(4).position(|window| window == b"\r\n\r\n");
+    match (lf_break, crlf_break) {
         (Some(a), Some(b)) if b < a => Some(b + 4),
         (Some(a), _) => Some(a + 2),
         (None, Some(b)) => Some(b + 4),
--- a/crates/alderglade-core/src/fleet/statement.rs
+++ b/crates/alderglade-core/src/fleet/statement.rs
@@ -22,14 +22,14 @@
 impl Rate {
     /// The lowest rate. A server that accepts less still gets a request every five seconds, because otherwise no host
     /// would learn that it accepts more again.
-    const LEAST: f64 = 0.2;
+    const MIN: f64 = 0.2;
     /// The highest rate; higher ones aren't distinguished.
-    const MOST: f64 = 1_000_000.0;
+    const MAX: f64 = 1_000_000.0;
 
     /// Creates a rate, or returns `None` if the number is negative or not a number.
     pub fn per_second(number: f64) -> Option<Rate> {
         let is_rate = number >= 0.0;
-        is_rate.then(|| Rate(number.clamp(Rate::LEAST, Rate::MOST)))
+        is_rate.then(|| Rate(number.clamp(Rate::MIN, Rate::MAX)))
     }
 
     /// Returns the requests per second.
--- a/crates/alderglade-core/tests/testsuite/fleet/backoff.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/backoff.rs
@@ -1,22 +1,28 @@
-//! Servers that want nothing of a host for a while.
+//! Servers that ask a host to send nothing for a while.
 
 use super::key;
 use alderglade_core::fleet::backoff::Backoffs;
 use alderglade_core::time::Time;
 use std::time::Duration;
 
-const SPAN: Duration = Duration::from_millis(3_000);
+const DURATION: Duration = Duration::from_millis(3_000);
 
 #[test]
-fn a_server_wants_nothing_until_the_latest_time_that_it_named() {
+fn a_backoff_lasts_until_the_latest_time_stated() {
     let at = Time::from_millis;
     let mut backoffs = Backoffs::default();
-    assert!(backoffs.note(key("a"), SPAN, at(1_000)));
-    assert!(!backoffs.note(key("a"), SPAN / 3, at(1_500)), "it goes on");
+    assert!(backoffs.note(key("a"), DURATION, at(1_000)));
+    assert!(
+        !backoffs.note(key("a"), DURATION / 3, at(1_500)),
+        "the backoff continues"
+    );
     assert_eq!(backoffs.left(&key("a"), at(2_000)).as_millis(), 2_000);
-    assert!(!backoffs.note(key("a"), SPAN, at(3_000)));
+    assert!(!backoffs.note(key("a"), DURATION, at(3_000)));
     assert_eq!(backoffs.left(&key("a"), at(5_000)).as_millis(), 1_000);
     assert!(backoffs.left(&key("a"), at(6_000)).is_zero());
     assert!(backoffs.left(&key("b"), at(2_000)).is_zero());
-    assert!(backoffs.note(key("a"), SPAN, at(7_000)), "it begins anew");
+    assert!(
+        backoffs.note(key("a"), DURATION, at(7_000)),
+        "a new backoff begins"
+    );
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/budget.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeated sends: over all hosts and any window it stays within the bound.
+//! The retry budget: it stays within the bound over all hosts and in any window.
 
 use crate::each_seed;
 use alderglade_core::fleet::budget::{Bound, Budget, UNITS_PER_RETRY};
@@ -12,13 +12,13 @@
 };
 
 #[test]
-fn all_hosts_together_keep_to_the_bound_in_every_window() {
+fn all_hosts_together_stay_within_the_bound_in_every_window() {
     each_seed(20, |u| {
         let hosts = u.int_in_range(1..=8)?;
         let mut budgets: Vec<Budget> = (0..hosts).map(|_| Budget::new(BOUND, Time(0))).collect();
         let mut now = Time(0);
         let mut requests = Vec::new();
-        let mut repeats = Vec::new();
+        let mut retries = Vec::new();
         for _ in 0..2_000 {
             now = now + Duration::from_millis(u.int_in_range(0..=12)?);
             let host = u.int_in_range(0..=hosts - 1)?;
@@ -27,10 +27,10 @@
                 requests.push(now);
             }
             if budgets[host].spend(now, hosts) {
-                repeats.push(now);
+                retries.push(now);
             }
         }
-        for end in &repeats {
+        for end in &retries {
             let within = |times: &[Time]| {
                 let start = *end - BOUND.window;
                 times
@@ -39,7 +39,7 @@
                     .count() as f64
             };
             let most = BOUND.ratio * within(&requests) + BOUND.slack;
-            assert!(within(&repeats) <= most, "{} of {most}", within(&repeats));
+            assert!(within(&retries) <= most, "{} of {most}", within(&retries));
         }
         Ok(())
     });
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn what_was_spent_comes_back_after_the_window() {
+fn what_was_spent_is_available_again_after_the_window() {
     let mut budget = Budget::new(BOUND, Time(0));
     while budget.spend(Time(0), 4) {}
     assert!(!budget.spend(Time(0) + BOUND.window, 4));
@@ -60,14 +60,14 @@
     assert!(budget.spend(later, 4));
 }
 
-/// What it spent before its start it doesn't know.
+/// It doesn't know what its previous incarnation spent.
 #[test]
-fn a_host_that_has_just_started_spends_what_a_former_lifetime_has_left() {
+fn a_host_that_has_just_started_spends_what_its_previous_incarnation_left() {
     let spend_all =
         |budget: &mut Budget, now| (0..1_000).take_while(|_| budget.spend(now, 1)).count();
-    let mut former = Budget::new(BOUND, Time(0));
+    let mut previous = Budget::new(BOUND, Time(0));
     let later = Time(0) + BOUND.window * 3;
-    let before = spend_all(&mut former, later);
+    let before = spend_all(&mut previous, later);
     let mut next = Budget::new(BOUND, later);
     let after = spend_all(&mut next, later);
     assert_eq!(before, 60);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_retry_that_reached_nobody_is_given_back() {
+fn a_retry_that_reached_no_server_is_refunded() {
     let mut budget = Budget::new(BOUND, Time(0));
     while budget.spend(Time(0), 4) {}
     budget.refund();
@@ -83,9 +83,9 @@
     assert!(!budget.spend(Time(0), 4));
 }
 
-/// The host that has borrowed it may still use it.
+/// The host that borrowed it may still use it.
 #[test]
-fn a_retry_that_is_given_back_is_never_one_that_was_lent() {
+fn a_refund_never_includes_a_loan() {
     let now = Time(0) + BOUND.window * 3;
     let mut budget = Budget::new(BOUND, Time(0));
     let whole = budget.remaining(now, 4);
--- a/crates/alderglade-core/tests/testsuite/fleet/cold.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/cold.rs
@@ -1,4 +1,4 @@
-//! Cold servers: what all hosts together send in a second, hosts that are cut off and owners that come and go counted.
+//! Cold servers: the requests of all hosts together in one second, with network partitions and changing owners.
 
 use super::chance::Chance;
 use super::key;
@@ -10,8 +10,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How long the servers here are cold.
-const SPELL: Duration = Duration::from_secs(30);
+/// How long the servers in these tests are cold.
+const COLD_TIME: Duration = Duration::from_secs(30);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -24,29 +24,29 @@
     }
 }
 
-/// The most that may reach a server in a second.
-fn most(per_second: f64) -> usize {
+/// The maximum number of requests that may reach a server in a second.
+fn max_per_second(per_second: f64) -> usize {
     (per_second * bound().factor + bound().slack) as usize
 }
 
 struct Host {
     name: Name,
     limits: Limits,
-    /// On which side of the cut it is.
+    /// The side of the network partition that it is on.
     side: usize,
     up: bool,
     /// When it asks again.
-    next: Time,
+    next_request: Time,
 }
 
-/// Hosts that all want to send to one cold server, as quickly as they may.
+/// Hosts that all try to send to one cold server as fast as they may.
 struct World {
     hosts: Vec<Host>,
     per_second: f64,
     chance: Chance,
     now: Time,
-    /// What each host has seen of the others is so late.
-    lag: VecDeque<Vec<(usize, bool)>>,
+    /// The views of the hosts, which reach them with a delay of one millisecond per entry.
+    delayed_views: VecDeque<Vec<(usize, bool)>>,
     sends: Vec<Time>,
 }
 
@@ -56,19 +56,19 @@
         let rate = bound().rate(per_second).expect("a bound");
         let host = |number: usize| {
             let mut limits = Limits::default();
-            limits.observe_cold(key("e"), rate, SPELL, true, now);
+            limits.observe_cold(key("e"), rate, COLD_TIME, true, now);
             Host {
                 name: format!("h{number}").into(),
                 limits,
                 side: 0,
                 up: true,
-                next: now,
+                next_request: now,
             }
         };
         let hosts: Vec<Host> = (0..count).map(host).collect();
         let view: Vec<(usize, bool)> = hosts.iter().map(|host| (host.side, host.up)).collect();
         World {
-            lag: std::iter::repeat_n(view, lag_ms.max(1)).collect(),
+            delayed_views: std::iter::repeat_n(view, lag_ms.max(1)).collect(),
             hosts,
             per_second,
             chance: Chance(seed),
@@ -77,9 +77,9 @@
         }
     }
 
-    /// Lists the hosts that one hears of, itself among them.
-    fn heard(&self, host: usize) -> Vec<usize> {
-        let seen = self.lag.front().expect("a view");
+    /// Returns the hosts that a host hears from, itself included.
+    fn live_hosts(&self, host: usize) -> Vec<usize> {
+        let seen = self.delayed_views.front().expect("a view");
         let side = seen[host].0;
         let all = 0..self.hosts.len();
         all.filter(|other| *other == host || seen[*other] == (side, true))
@@ -87,17 +87,17 @@
     }
 
     fn owner(&self, host: usize) -> usize {
-        let heard = self.heard(host);
-        let names = heard.iter().map(|other| &self.hosts[*other].name);
+        let live_hosts = self.live_hosts(host);
+        let names = live_hosts.iter().map(|other| &self.hosts[*other].name);
         let owner = rate_limit::owner(key("e"), names).expect("a host").clone();
-        heard
+        live_hosts
             .into_iter()
             .find(|other| self.hosts[*other].name == owner)
             .expect("one of them")
     }
 
-    /// Has a host ask the owner that it sees, and send where it may.
-    fn want(&mut self, host: usize) {
+    /// Has a host ask the owner that it sees for a grant, and send if it gets one.
+    fn try_send(&mut self, host: usize) {
         let owner = self.owner(host);
         let asking = &self.hosts[host];
         let request = asking
@@ -108,11 +108,11 @@
         };
         let reached = self.hosts[owner].up && self.hosts[owner].side == asking.side;
         if !reached {
-            self.hosts[host].next = self.now + ms(300);
+            self.hosts[host].next_request = self.now + ms(300);
             return;
         }
         let own_owner = self.hosts[self.owner(owner)].name.clone();
-        let majority = 2 * self.heard(owner).len() > self.hosts.len();
+        let majority = 2 * self.live_hosts(owner).len() > self.hosts.len();
         let granting = &mut self.hosts[owner];
         let view = OwnerView {
             own: &granting.name,
@@ -123,7 +123,7 @@
         if wait.is_zero() {
             self.sends.push(self.now);
         }
-        self.hosts[host].next = self.now + wait.max(ms(1));
+        self.hosts[host].next_request = self.now + wait.max(ms(1));
     }
 
     fn run(&mut self, span: Duration, mut event: impl FnMut(&mut World)) {
@@ -132,18 +132,18 @@
             self.now = self.now + ms(1);
             event(self);
             let view = self.hosts.iter().map(|host| (host.side, host.up)).collect();
-            self.lag.pop_front();
-            self.lag.push_back(view);
+            self.delayed_views.pop_front();
+            self.delayed_views.push_back(view);
             for host in 0..self.hosts.len() {
-                if self.hosts[host].up && self.hosts[host].next <= self.now {
-                    self.want(host);
+                if self.hosts[host].up && self.hosts[host].next_request <= self.now {
+                    self.try_send(host);
                 }
             }
         }
     }
 
-    /// Gives the most that was sent in a second.
-    fn most_in_a_second(&self) -> usize {
+    /// Returns the maximum number of requests sent in a second.
+    fn max_in_a_second(&self) -> usize {
         let from = |first: &Time| {
             let later = self.sends.iter().filter(|at| *at >= first);
             later.filter(|at| at.since(*first) < ms(1_000)).count()
@@ -152,14 +152,14 @@
     }
 
     fn check(&self, what: &str) {
-        let (sent, most) = (self.most_in_a_second(), most(self.per_second));
+        let (sent, most) = (self.max_in_a_second(), max_per_second(self.per_second));
         assert!(sent <= most, "{what}: {sent} of {most}");
     }
 }
 
-/// Hosts are cut off alone and in groups, end and come back, and hear of each other late.
+/// Hosts are cut off alone and in groups, stop and restart, and learn of each other late.
 #[test]
-fn all_hosts_together_keep_to_what_a_cold_server_bears() {
+fn all_hosts_together_stay_within_the_limit_of_a_cold_server() {
     for seed in 0..30_u64 {
         let mut chance = Chance(seed);
         let count = [1, 2, 9, 59, 140][chance.host(5)];
@@ -183,7 +183,8 @@
                     let host = &mut world.hosts[host];
                     host.up = !host.up;
                     host.limits = Limits::default();
-                    host.limits.observe_cold(key("e"), rate, SPELL, true, now);
+                    host.limits
+                        .observe_cold(key("e"), rate, COLD_TIME, true, now);
                 }
                 _ => {}
             }
@@ -192,9 +193,9 @@
     }
 }
 
-/// All are cut off from each other: nobody can know what the others send, so nobody sends.
+/// All hosts are cut off from each other. None can know what the others send, so none may send.
 #[test]
-fn hosts_that_hear_of_nobody_send_nothing() {
+fn isolated_hosts_send_nothing() {
     let mut world = World::new(59, 14.0, 1, 1);
     let hosts = world.hosts.iter_mut().enumerate();
     hosts.for_each(|(number, host)| host.side = number);
@@ -202,9 +203,9 @@
     assert!(world.sends.is_empty());
 }
 
-/// A cold server isn't idle either: what half of the bound allows is used.
+/// The limit must not leave a cold server idle: half of it is used.
 #[test]
-fn what_a_cold_server_bears_is_used() {
+fn the_limit_of_a_cold_server_is_used() {
     for count in [1, 9, 59] {
         let mut world = World::new(count, 14.0, 200, 3);
         world.run(Duration::from_secs(4), |_| {});
@@ -214,28 +215,28 @@
 }
 
 #[test]
-fn the_smaller_bound_counts_where_a_cold_server_names_a_limit() {
+fn the_lower_limit_counts_if_a_cold_server_states_one() {
     let now = Time::from_millis(10_000);
     let rate = |number| Rate::per_second(number).expect("a rate");
     let mut limits = Limits::default();
     limits.observe_limit(key("e"), Some(rate(4.0)), now, now);
-    assert!(limits.observe_cold(key("e"), rate(10.0), SPELL, true, now));
+    assert!(limits.observe_cold(key("e"), rate(10.0), COLD_TIME, true, now));
     assert_eq!(limits.effective_limit(key("e"), now), Some(rate(4.0)));
-    assert!(!limits.observe_cold(key("e"), rate(2.0), SPELL, true, now));
+    assert!(!limits.observe_cold(key("e"), rate(2.0), COLD_TIME, true, now));
     assert_eq!(limits.effective_limit(key("e"), now), Some(rate(2.0)));
     assert_eq!(
-        limits.effective_limit(key("e"), now + SPELL),
+        limits.effective_limit(key("e"), now + COLD_TIME),
         Some(rate(4.0))
     );
 }
 
-/// A question tells the owner, which may not have heard of the spell, and hosts tell others what they have from the server.
+/// A request for a grant tells an owner of a cold period that it may not know, and hosts report first-hand knowledge.
 #[test]
-fn hosts_tell_each_other_of_cold_servers() {
+fn hosts_report_cold_servers_to_each_other() {
     let now = Time::from_millis(10_000);
     let rate = Rate::per_second(3.0).expect("a rate");
     let mut one = Limits::default();
-    one.observe_cold(key("e"), rate, SPELL, true, now);
+    one.observe_cold(key("e"), rate, COLD_TIME, true, now);
     let mut other = Limits::default();
     let request = one
         .request_if_limited(key("e"), &"a".into(), 1, now)
@@ -247,18 +248,21 @@
     };
     other.grant(&request, &view, now);
     assert_eq!(other.effective_limit(key("e"), now), Some(rate));
-    assert!(other.cold_reports(now).is_empty(), "it has it from one");
+    assert!(
+        other.cold_reports(now).is_empty(),
+        "it has the report from another host"
+    );
     let mut third = Limits::default();
-    for told in one.cold_reports(now) {
-        assert!(third.apply_cold_report(&told, now));
-        assert!(!third.apply_cold_report(&told, now));
+    for report in one.cold_reports(now) {
+        assert!(third.apply_cold_report(&report, now));
+        assert!(!third.apply_cold_report(&report, now));
     }
     assert_eq!(third.effective_limit(key("e"), now), Some(rate));
-    assert_eq!(third.effective_limit(key("e"), now + SPELL), None);
-    assert!(one.cold_reports(now + SPELL).is_empty());
+    assert_eq!(third.effective_limit(key("e"), now + COLD_TIME), None);
+    assert!(one.cold_reports(now + COLD_TIME).is_empty());
 }
 
-/// All hosts start at once, and each has heard of nobody yet.
+/// When all hosts start at once, none has heard from another yet.
 #[test]
 fn a_host_that_has_no_list_of_hosts_hears_no_majority() {
     assert!(!rate_limit::is_majority(1, None));
@@ -269,7 +273,7 @@
 }
 
 #[test]
-fn half_of_the_bound_is_granted_by_one_owner() {
+fn one_owner_grants_half_of_the_limit() {
     for per_second in [1.0, 3.0, 14.0, 40.0, 400.0] {
         let rate = bound().rate(per_second).expect("a bound").get();
         let half = (per_second * 1.5 + 5.0) / 2.0;
@@ -277,5 +281,5 @@
         assert!(rate + saved <= half, "{per_second}: {rate}");
         assert!(rate > half * 0.5, "{per_second}: {rate}");
     }
-    assert_eq!(bound().rate(0.0), None, "it bears any number");
+    assert_eq!(bound().rate(0.0), None, "it accepts any number");
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/config.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/config.rs
@@ -1,4 +1,4 @@
-//! Routing, keys and limits of a configuration.
+//! Routes, keys, targets and patches of a configuration.
 
 use crate::each_seed;
 use alderglade_core::Name;
@@ -44,7 +44,7 @@
     Config::new(3, Limits::default(), routes, Vec::new(), workspaces)
 }
 
-fn keyed() -> Config {
+fn config_with_keys() -> Config {
     config(Some(vec![Workspace {
         name: "clinic".into(),
         keys: vec!["k1".into(), "k2".into()],
@@ -53,29 +53,32 @@
     }]))
 }
 
-fn found<'a>(config: &'a Config, host: &str, path: &str) -> Option<&'a str> {
+fn route_name<'a>(config: &'a Config, host: &str, path: &str) -> Option<&'a str> {
     config.route(host, path).map(|route| &*route.name)
 }
 
 #[test]
 fn the_longest_prefix_of_the_host_wins() {
-    let config = keyed();
-    assert_eq!(found(&config, "one.example", "/a/x"), Some("short"));
-    assert_eq!(found(&config, "one.example", "/a/b/x"), Some("long"));
-    assert_eq!(found(&config, "two.example", "/a/b/x"), Some("other"));
-    assert_eq!(found(&config, "one.example", "/ab"), None);
-    assert_eq!(found(&config, "three.example", "/a/x"), None);
+    let config = config_with_keys();
+    assert_eq!(route_name(&config, "one.example", "/a/x"), Some("short"));
+    assert_eq!(route_name(&config, "one.example", "/a/b/x"), Some("long"));
+    assert_eq!(route_name(&config, "two.example", "/a/b/x"), Some("other"));
+    assert_eq!(route_name(&config, "one.example", "/ab"), None);
+    assert_eq!(route_name(&config, "three.example", "/a/x"), None);
 }
 
 #[test]
 fn case_and_port_of_the_host_do_not_matter() {
-    let config = keyed();
-    assert_eq!(found(&config, "ONE.example:8080", "/a/x"), Some("short"));
+    let config = config_with_keys();
+    assert_eq!(
+        route_name(&config, "ONE.example:8080", "/a/x"),
+        Some("short")
+    );
 }
 
 #[test]
-fn a_key_opens_its_workspace_and_no_other() {
-    let config = keyed();
+fn a_key_grants_access_to_its_workspace_and_no_other() {
+    let config = config_with_keys();
     let route = config.route("one.example", "/a/x").expect("a route");
     let clinic = Access::Workspace("clinic".into());
     assert_eq!(config.access(route, Some("k2")), clinic);
@@ -84,8 +87,8 @@
 }
 
 #[test]
-fn public_routes_and_configurations_without_keys_ask_for_none() {
-    let with_keys = keyed();
+fn public_routes_and_configurations_without_keys_require_none() {
+    let with_keys = config_with_keys();
     let public = with_keys.route("one.example", "/open/x").expect("a route");
     assert_eq!(with_keys.access(public, None), Access::Open);
     let without = config(None);
@@ -94,8 +97,8 @@
 }
 
 #[test]
-fn targets_share_by_weight() {
-    let config = keyed();
+fn targets_share_requests_by_weight() {
+    let config = config_with_keys();
     let route = config.route("one.example", "/a/x").expect("a route");
     let service = |draw: f64| route.target(draw).map(|target| &*target.service);
     assert_eq!(service(0.0), Some("a"));
@@ -105,7 +108,7 @@
 }
 
 #[test]
-fn only_what_may_run_twice_is_repeatable() {
+fn only_kinds_that_may_run_twice_are_repeatable() {
     let stream = |resumable| Kind::Stream {
         resumable,
         longest_pause: Duration::from_millis(250),
@@ -123,8 +126,8 @@
         .collect())
 }
 
-/// A random configuration over a few names, so that two of them have much in common.
-fn any(u: &mut Unstructured<'_>, version: u64) -> Result<Config> {
+/// Creates a random configuration from few names, so that two of them have much in common.
+fn any_config(u: &mut Unstructured<'_>, version: u64) -> Result<Config> {
     let mut routes = Vec::new();
     for number in 0..u.int_in_range(0..=12)? {
         let host = ["one.example", "two.example"][u.int_in_range(0..=1)?];
@@ -172,9 +175,9 @@
 }
 
 #[test]
-fn a_patch_leads_to_just_the_newer_configuration() {
+fn a_patch_leads_to_exactly_the_newer_configuration() {
     each_seed(200, |u| {
-        let (old, new) = (any(u, 3)?, any(u, 9)?);
+        let (old, new) = (any_config(u, 3)?, any_config(u, 9)?);
         let patch = Patch::between(&old, &new).expect("both use keys");
         assert_eq!(old.patched(&patch), Some(new));
         Ok(())
@@ -183,9 +186,9 @@
 
 #[test]
 fn a_patch_applies_to_its_own_version_only() {
-    let old = keyed();
+    let old = config_with_keys();
     let at = |version| {
-        let mut config = keyed();
+        let mut config = config_with_keys();
         config.version = version;
         config
     };
@@ -197,7 +200,7 @@
 }
 
 #[test]
-fn no_patch_begins_or_ends_the_use_of_keys() {
-    assert_eq!(Patch::between(&keyed(), &config(None)), None);
-    assert_eq!(Patch::between(&config(None), &keyed()), None);
+fn no_patch_starts_or_ends_the_use_of_keys() {
+    assert_eq!(Patch::between(&config_with_keys(), &config(None)), None);
+    assert_eq!(Patch::between(&config(None), &config_with_keys()), None);
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/evacuation.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated failure domains: all hosts come to the same word, however late, often and in which order they hear of it.
+//! Evacuated failure domains: all hosts reach the same state, however late, often and in which order messages arrive.
 
 use super::chance::Chance;
 use alderglade_core::Name;
@@ -15,8 +15,8 @@
     Position::new(1, revision)
 }
 
-/// A position after the store has come back from a copy.
-fn copied(revision: u64) -> Position {
+/// A position after the store was restored from a copy.
+fn restored_at(revision: u64) -> Position {
     Position::new(2, revision)
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-fn listing(names: &[&str], position: Position) -> Evacuations {
+fn evacuations_at(names: &[&str], position: Position) -> Evacuations {
     let mut evacuations = Evacuations::default();
     assert!(!evacuations.is_known());
     evacuations.replace(domains(names), position, NOW);
@@ -39,25 +39,25 @@
     evacuations
 }
 
-fn told(names: &[&str], position: Position) -> Snapshot {
-    listing(names, position).snapshot(NOW)
+fn snapshot(names: &[&str], position: Position) -> Snapshot {
+    evacuations_at(names, position).snapshot(NOW)
 }
 
 #[test]
-fn only_what_is_later_counts() {
-    let mut known = listing(&[], at(10));
-    assert!(known.apply_snapshot(&told(&["north"], at(20)), NOW));
-    assert!(!known.apply_snapshot(&told(&[], at(15)), NOW));
+fn only_later_positions_count() {
+    let mut known = evacuations_at(&[], at(10));
+    assert!(known.apply_snapshot(&snapshot(&["north"], at(20)), NOW));
+    assert!(!known.apply_snapshot(&snapshot(&[], at(15)), NOW));
     assert!(!known.apply_changes(&[change("north", false)], at(20)));
     assert_eq!(known.in_force(), domains(&["north"]));
     assert!(known.apply_changes(&[change("north", false)], at(25)));
-    assert!(!known.apply_snapshot(&told(&["north"], at(20)), NOW));
+    assert!(!known.apply_snapshot(&snapshot(&["north"], at(20)), NOW));
     assert_eq!(known.in_force(), domains(&[]));
 }
 
 #[test]
 fn of_several_changes_of_a_domain_the_last_counts() {
-    let mut known = listing(&["south"], at(10));
+    let mut known = evacuations_at(&["south"], at(10));
     let changes = [
         change("north", true),
         change("south", false),
@@ -68,22 +68,23 @@
     assert_eq!(known.in_force(), domains(&["north"]));
 }
 
-/// A host that doesn't know them says nothing of them.
+/// A host that doesn't know the evacuations must not end them elsewhere.
 #[test]
-fn who_knows_nothing_tells_nothing() {
-    let mut known = listing(&["north"], at(10));
+fn the_snapshot_of_a_host_without_knowledge_changes_nothing() {
+    let mut known = evacuations_at(&["north"], at(10));
     assert!(!known.apply_snapshot(&Evacuations::default().snapshot(NOW), NOW));
     assert_eq!(known.in_force(), domains(&["north"]));
 }
 
 #[test]
-fn an_evacuation_that_a_copy_lacks_holds_until_it_could_be_written_again() {
-    let mut known = listing(&["north"], at(100));
-    assert!(!known.replace(domains(&[]), copied(50), NOW));
+fn an_evacuation_missing_from_a_restored_copy_holds_for_the_grace_period() {
+    let mut known = evacuations_at(&["north"], at(100));
+    assert!(!known.replace(domains(&[]), restored_at(50), NOW));
     assert_eq!(known.in_force(), domains(&["north"]));
-    // Who starts then lists only what the copy holds, and has the rest from others, but for no longer than they.
+    // A host that starts now reads only what the copy holds. It gets the rest from others, but for no longer than
+    // they hold it.
     let later = NOW + RESTORED_GRACE / 2;
-    let mut fresh = listing(&[], copied(60));
+    let mut fresh = evacuations_at(&[], restored_at(60));
     assert!(fresh.apply_snapshot(&known.snapshot(later), later));
     assert!(!known.apply_snapshot(&fresh.snapshot(later), later));
     assert_eq!(known.in_force(), domains(&["north"]));
@@ -95,35 +96,35 @@
 }
 
 #[test]
-fn an_evacuation_that_is_written_again_after_a_copy_stays_until_it_is_taken_back() {
-    let mut known = listing(&["north"], at(100));
-    known.replace(domains(&[]), copied(50), NOW);
-    assert!(!known.apply_changes(&[change("north", true)], copied(60)));
+fn an_evacuation_that_is_written_again_stays_until_it_is_ended() {
+    let mut known = evacuations_at(&["north"], at(100));
+    known.replace(domains(&[]), restored_at(50), NOW);
+    assert!(!known.apply_changes(&[change("north", true)], restored_at(60)));
     assert!(!known.expire(NOW + RESTORED_GRACE * 2));
     assert_eq!(known.in_force(), domains(&["north"]));
-    assert!(known.apply_changes(&[change("north", false)], copied(61)));
+    assert!(known.apply_changes(&[change("north", false)], restored_at(61)));
     assert_eq!(known.in_force(), domains(&[]));
 }
 
-/// An evacuation that was taken back stands in the copy again: the store says so, and only the operator can end it.
+/// The copy may contain an evacuation that had ended. The store's state is in force, and only the operator can end it.
 #[test]
-fn what_a_copy_holds_is_in_force() {
-    let mut known = listing(&[], at(100));
-    assert!(known.replace(domains(&["north"]), copied(50), NOW));
-    assert!(!known.apply_snapshot(&told(&[], at(100)), NOW));
+fn what_a_restored_copy_contains_is_in_force() {
+    let mut known = evacuations_at(&[], at(100));
+    assert!(known.replace(domains(&["north"]), restored_at(50), NOW));
+    assert!(!known.apply_snapshot(&snapshot(&[], at(100)), NOW));
     assert_eq!(known.in_force(), domains(&["north"]));
 }
 
-/// Up to a thousand hosts, of which one at a time asks the store; messages are lost, doubled and late, hosts start again and
-/// are cut off.
+/// Up to a thousand hosts, of which one at a time queries the store. Messages are lost, duplicated and late, and
+/// hosts restart and are disconnected.
 #[test]
-fn all_hosts_come_to_the_stores_word() {
+fn all_hosts_converge_to_the_stores_state() {
     for seed in 0..12_u64 {
         let mut chance = Chance(seed);
         let count = [3, 60, 1_000][chance.host(3)];
         let mut store = domains(&[]);
         let mut hosts: Vec<Evacuations> = (0..count).map(|_| Evacuations::default()).collect();
-        let mut letters: Vec<(usize, Snapshot)> = Vec::new();
+        let mut envelopes: Vec<(usize, Snapshot)> = Vec::new();
         let mut revision = 1;
         for _ in 0..60 {
             revision += 1 + chance.below(3);
@@ -134,27 +135,27 @@
             hosts[chance.host(count)].replace(store.clone(), at(revision), NOW);
             for _ in 0..count.min(40) {
                 let from = chance.host(count);
-                letters.push((chance.host(count), hosts[from].snapshot(NOW)));
+                envelopes.push((chance.host(count), hosts[from].snapshot(NOW)));
             }
             if chance.below(4) == 0 {
                 hosts[chance.host(count)] = Evacuations::default();
             }
-            for _ in 0..chance.host(letters.len() + 1) {
-                let (to, told) = letters.swap_remove(chance.host(letters.len()));
-                hosts[to].apply_snapshot(&told, NOW);
+            for _ in 0..chance.host(envelopes.len() + 1) {
+                let (to, snapshot) = envelopes.swap_remove(chance.host(envelopes.len()));
+                hosts[to].apply_snapshot(&snapshot, NOW);
             }
         }
         hosts[0].replace(store.clone(), at(revision), NOW);
-        let told = hosts[0].snapshot(NOW);
+        let snapshot = hosts[0].snapshot(NOW);
         for (number, host) in hosts.iter_mut().enumerate() {
-            host.apply_snapshot(&told, NOW);
+            host.apply_snapshot(&snapshot, NOW);
             assert_eq!(host.in_force(), store, "seed {seed}, host {number}");
         }
     }
 }
 
 #[test]
-fn servers_of_an_evacuated_domain_take_no_new_work_and_stay_known() {
+fn servers_of_an_evacuated_domain_get_no_new_work_and_stay_known() {
     let mut directory = Directory::default();
     let server = super::server("e1", false);
     let key = server.key();
@@ -165,13 +166,17 @@
     assert_eq!(directory.of_service("llm").count(), 0);
     assert!(directory.active(key).is_some());
     assert_eq!(directory.active_of("llm").count(), 1);
-    assert_eq!(directory.digest(), digest, "hosts compare servers by it");
+    assert_eq!(
+        directory.digest(),
+        digest,
+        "hosts compare their servers by the digest"
+    );
     assert_eq!(directory.evacuate(domains(&[])), domains(&["north"]));
     assert!(directory.get(key).is_some());
 }
 
 #[test]
-fn an_entry_tells_of_a_cold_spell_once() {
+fn an_entry_reports_a_cold_period_once() {
     let mut directory = Directory::default();
     let mut server = super::server("e1", false);
     server.cold_ms = 1_500;
--- a/crates/alderglade-core/tests/testsuite/fleet/health.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/health.rs
@@ -1,11 +1,11 @@
-//! What is learnt of servers from calls, and how it is forgotten.
+//! Server health: what hosts find out from calls and reports, and when it is forgotten.
 
 use super::key;
 use alderglade_core::fleet::health::{Ejection, Health, Outcome};
 use alderglade_core::time::Time;
 
 #[test]
-fn a_silent_server_is_ejected_for_a_while_that_grows() {
+fn the_ejection_of_a_silent_server_grows_longer() {
     let mut health = Health::default();
     let id = key("a");
     health.record(id, Outcome::Silent, Time(0));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_few_failures_do_not_take_a_server_out() {
+fn a_few_failures_do_not_eject_a_server() {
     let mut health = Health::default();
     let id = key("a");
     health.record(id, Outcome::Failed, Time(0));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn good_answers_are_forgiving() {
+fn correct_answers_lower_the_failure_rate() {
     let mut health = Health::default();
     let id = key("a");
     for _ in 0..6 {
@@ -48,76 +48,76 @@
 }
 
 #[test]
-fn a_server_that_refuses_work_is_ejected_on_a_peers_word_too() {
+fn a_server_that_refuses_work_is_ejected_on_a_peers_report_too() {
     let id = key("a");
-    let mut told = Health::default();
-    told.eject(id, Time(0));
+    let mut first_hand = Health::default();
+    first_hand.eject(id, Time(0));
     let later = Time::from_millis(1_000);
-    let words = told.ejections_to_report(later);
-    assert_eq!(words.len(), 1);
+    let reports = first_hand.ejections_to_report(later);
+    assert_eq!(reports.len(), 1);
     let mut other = Health::default();
-    other.apply_ejection(&words[0], later);
-    for health in [&told, &other] {
+    other.apply_ejection(&reports[0], later);
+    for health in [&first_hand, &other] {
         assert!(health.is_suspect(key("a"), "north", Time::from_millis(2_999)));
         assert!(!health.is_suspect(key("a"), "north", Time::from_millis(3_000)));
     }
     assert!(
         other.ejections_to_report(later).is_empty(),
-        "what was only heard isn't told again"
+        "only first-hand findings are reported"
     );
 }
 
 #[test]
-fn no_peer_has_a_server_ejected_for_longer_than_a_servers_word_counts() {
+fn no_report_ejects_a_server_for_longer_than_a_first_hand_finding() {
     let mut health = Health::default();
-    let told = Ejection {
+    let report = Ejection {
         server: key("a"),
         left_ms: u32::MAX,
     };
-    health.apply_ejection(&told, Time(0));
+    health.apply_ejection(&report, Time(0));
     assert!(!health.is_suspect(key("a"), "north", Time::from_millis(3_000)));
 }
 
-/// Two hosts that find a server slow at the same time each hear the other's word a moment later. Were each to give up its
-/// own for it, nobody would ask the server again.
+/// Two hosts that find a server slow at the same time each receive the other's report a moment later. If each gave up
+/// its own finding for the other's, nobody would check the server again.
 #[test]
-fn of_two_hosts_that_were_told_at_once_one_at_least_looks_after_the_server() {
+fn of_two_hosts_with_simultaneous_findings_at_least_one_owns_the_ejection() {
     let id = key("a");
     let mut hosts = [Health::default(), Health::default()];
     for (late, host) in hosts.iter_mut().enumerate() {
         host.eject(id, Time(late as u64 * 200));
     }
     let sent = Time::from_millis(1);
-    let words = hosts.each_ref().map(|host| host.ejections_to_report(sent));
-    let heard = Time::from_millis(3);
-    hosts[0].apply_ejection(&words[1][0], heard);
-    hosts[1].apply_ejection(&words[0][0], heard);
+    let reports = hosts.each_ref().map(|host| host.ejections_to_report(sent));
+    let received = Time::from_millis(3);
+    hosts[0].apply_ejection(&reports[1][0], received);
+    hosts[1].apply_ejection(&reports[0][0], received);
     assert!(hosts.iter().any(|host| host.owns_ejection(key("a"))));
-    // One that asks again has the later word.
+    // A host that checks the server again has the later finding.
     let again = Time::from_millis(2_400);
     hosts[0].eject(id, again);
-    let word = &hosts[0].ejections_to_report(again)[0].clone();
-    hosts[1].apply_ejection(word, again);
+    let report = &hosts[0].ejections_to_report(again)[0].clone();
+    hosts[1].apply_ejection(report, again);
     assert!(!hosts[1].owns_ejection(key("a")));
 }
 
-/// After a crash of many servers each host found each of them by its own failures.
+/// After a crash of many servers, each host had to detect each of them by failures of its own.
 #[test]
-fn a_server_at_whose_address_nobody_listens_is_ejected_by_all_and_a_silent_one_is_not() {
+fn a_closed_server_is_ejected_by_all_hosts_and_a_silent_one_is_not() {
     let (closed, silent) = (key("a"), key("b"));
     let mut finder = Health::default();
     finder.record(closed, Outcome::Closed, Time(0));
     finder.record(silent, Outcome::Silent, Time(0));
     let sent = Time::from_millis(100);
-    let words = finder.ejections_to_report(sent);
+    let reports = finder.ejections_to_report(sent);
     let mut other = Health::default();
-    words
+    reports
         .iter()
-        .for_each(|word| other.apply_ejection(word, sent));
+        .for_each(|report| other.apply_ejection(report, sent));
     assert!(other.is_suspect(closed, "north", Time::from_millis(499)));
     assert!(
         !other.is_suspect(closed, "north", Time::from_millis(500)),
-        "as long as the finder"
+        "ejected for as long as at the finder"
     );
     assert!(
         !other.is_suspect(silent, "north", sent),
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn no_number_of_servers_that_are_gone_outgrows_a_notice() {
+fn reported_ejections_fit_a_notice_however_many_servers_are_gone() {
     let mut finder = Health::default();
     for number in 0..1_200 {
         finder.record(key(&format!("s{number}")), Outcome::Closed, Time(0));
@@ -141,112 +141,121 @@
     assert_eq!(finder.ejections_to_report(Time(1)).len(), 32);
 }
 
-/// Two hosts of a failure domain, or hosts of two domains, are believed that a server leaves them without an answer; one host,
-/// or several of one other domain, whose way there may be broken, are not.
+/// A server is suspect if two hosts of the own failure domain, or hosts of two domains, get no answer from it. One
+/// host, or several of one other domain, are not enough, since their own links may be broken.
 #[test]
-fn a_server_is_doubted_where_a_second_host_has_seen_the_same() {
+fn a_server_is_suspect_if_a_second_host_has_seen_the_same() {
     let now = Time::from_millis(100);
-    let sick = key("a");
-    let told = |hosts: &[(&str, &str)], seen: bool| {
+    let unresponsive = key("a");
+    let is_suspect = |hosts: &[(&str, &str)], seen: bool| {
         let mut health = Health::default();
         for (host, domain) in hosts {
-            health.apply_unanswered(&(*host).into(), &(*domain).into(), &[sick], now);
+            health.apply_unanswered(&(*host).into(), &(*domain).into(), &[unresponsive], now);
         }
         if seen {
-            health.record(sick, Outcome::Broken, now);
+            health.record(unresponsive, Outcome::Broken, now);
         }
-        health.is_suspect(sick, "north", now)
+        health.is_suspect(unresponsive, "north", now)
     };
-    assert!(!told(&[], true));
-    assert!(!told(&[("h1", "north")], false));
-    assert!(!told(&[("h5", "south"), ("h6", "south")], false));
-    assert!(told(&[("h1", "north"), ("h2", "north")], false));
-    assert!(told(&[("h1", "north")], true));
-    assert!(told(&[("h5", "south")], true));
-    assert!(told(&[("h5", "south"), ("h9", "east")], false));
+    assert!(!is_suspect(&[], true));
+    assert!(!is_suspect(&[("h1", "north")], false));
+    assert!(!is_suspect(&[("h5", "south"), ("h6", "south")], false));
+    assert!(is_suspect(&[("h1", "north"), ("h2", "north")], false));
+    assert!(is_suspect(&[("h1", "north")], true));
+    assert!(is_suspect(&[("h5", "south")], true));
+    assert!(is_suspect(&[("h5", "south"), ("h9", "east")], false));
 }
 
 #[test]
-fn what_hosts_tell_of_a_server_ends_with_its_next_answer_to_them() {
-    let sick = key("a");
+fn a_report_of_a_server_ends_with_its_next_answer() {
+    let unresponsive = key("a");
     let mut sender = Health::default();
     let mut receiver = Health::default();
-    sender.record(sick, Outcome::Broken, Time(0));
-    let tell = |sender: &Health, receiver: &mut Health, now| {
-        let told = sender.unanswered_to_report(now);
-        receiver.apply_unanswered(&"h1".into(), &"north".into(), &told, now);
+    sender.record(unresponsive, Outcome::Broken, Time(0));
+    let send_report = |sender: &Health, receiver: &mut Health, now| {
+        let unanswered = sender.unanswered_to_report(now);
+        receiver.apply_unanswered(&"h1".into(), &"north".into(), &unanswered, now);
     };
-    receiver.apply_unanswered(&"h2".into(), &"north".into(), &[sick], Time(0));
-    tell(&sender, &mut receiver, Time(0));
-    assert!(receiver.is_suspect(sick, "north", Time(0)));
-    sender.record(sick, Outcome::Sound, Time(1));
-    tell(&sender, &mut receiver, Time(1));
-    assert!(!receiver.is_suspect(sick, "north", Time(1)));
-    sender.record(sick, Outcome::Silent, Time(2));
+    receiver.apply_unanswered(&"h2".into(), &"north".into(), &[unresponsive], Time(0));
+    send_report(&sender, &mut receiver, Time(0));
+    assert!(receiver.is_suspect(unresponsive, "north", Time(0)));
+    sender.record(unresponsive, Outcome::Sound, Time(1));
+    send_report(&sender, &mut receiver, Time(1));
+    assert!(!receiver.is_suspect(unresponsive, "north", Time(1)));
+    sender.record(unresponsive, Outcome::Silent, Time(2));
     assert!(
         sender
             .unanswered_to_report(Time::from_millis(2_100))
             .is_empty(),
-        "it lapses"
+        "the report expires"
     );
 }
 
-/// A deployment with four engines that reset all that they get, and so look empty: hosts choose the engine that all together
-/// hold least at, of those they don't doubt. Gives the sends that such engines got in six seconds.
-fn sends_to_sick(told: bool) -> usize {
+/// Simulates a deployment with four engines that reset all requests and so look idle. Hosts choose the engine with
+/// the fewest requests among those that aren't suspect. Returns the number of requests that the four engines got in
+/// six seconds.
+fn requests_to_resetting_engines(with_reports: bool) -> usize {
     const HOSTS: usize = 72;
     const ENGINES: usize = 60;
-    const SICK: usize = 4;
-    /// Requests a second, and how long an answer runs, in milliseconds.
-    const RATE: u64 = 107;
-    const RUNS: u64 = 1_700;
-    /// How long notices take, with the time in which they are collected, in milliseconds.
-    const NOTICE: u64 = 4;
+    const RESETTING: usize = 4;
+    /// Requests per second, and the duration of an answer in milliseconds.
+    const REQUESTS_PER_SECOND: u64 = 107;
+    const ANSWER_MS: u64 = 1_700;
+    /// The delay of notices in milliseconds, including the time for which they are collected.
+    const NOTICE_DELAY_MS: u64 = 4;
     let engine = |number: usize| key(&format!("e{number}"));
     let domain = |host: usize| ["north", "south", "east"][host % 3];
     let mut hosts: Vec<Health> = (0..HOSTS).map(|_| Health::default()).collect();
     let mut busy_until = vec![Vec::new(); ENGINES];
     let mut notices: Vec<(u64, usize)> = Vec::new();
-    let mut sends = 0;
-    for number in 0..6 * RATE {
-        let at = number * 1_000 / RATE;
+    let mut requests = 0;
+    for number in 0..6 * REQUESTS_PER_SECOND {
+        let at = number * 1_000 / REQUESTS_PER_SECOND;
         let now = Time::from_millis(at);
-        let due = notices.iter().filter(|(sent, _)| sent + NOTICE <= at);
+        let due = notices
+            .iter()
+            .filter(|(sent, _)| sent + NOTICE_DELAY_MS <= at);
         for (_, from) in due.copied().collect::<Vec<_>>() {
             let list = hosts[from].unanswered_to_report(now);
             let name = format!("h{from}").into();
-            for host in hosts.iter_mut().filter(|_| told) {
+            for host in hosts.iter_mut().filter(|_| with_reports) {
                 host.apply_unanswered(&name, &domain(from).into(), &list, now);
             }
         }
-        notices.retain(|(sent, _)| sent + NOTICE > at);
-        // Heartbeats, which tell the same again.
+        notices.retain(|(sent, _)| sent + NOTICE_DELAY_MS > at);
+        // Heartbeats repeat the reports.
         if number % 40 == 0 {
             notices.extend((0..HOSTS).map(|host| (at, host)));
         }
         let host = (number as usize * 31) % HOSTS;
         let load = |number: &usize| {
-            let doubted = hosts[host].is_suspect(engine(*number), domain(host), now);
+            let is_suspect = hosts[host].is_suspect(engine(*number), domain(host), now);
             let running: &Vec<u64> = &busy_until[*number];
-            (doubted, running.iter().filter(|until| **until > at).count())
+            (
+                is_suspect,
+                running.iter().filter(|until| **until > at).count(),
+            )
         };
         let chosen = (0..ENGINES).min_by_key(load).expect("an engine");
-        if chosen < SICK {
-            sends += 1;
+        if chosen < RESETTING {
+            requests += 1;
             hosts[host].record(engine(chosen), Outcome::Broken, now);
             notices.push((at, host));
         } else {
             hosts[host].record(engine(chosen), Outcome::Sound, now);
-            busy_until[chosen].push(at + RUNS);
+            busy_until[chosen].push(at + ANSWER_MS);
         }
     }
-    sends
+    requests
 }
 
-/// Engines that reset all they get draw the work, since they look empty. That hosts tell each other keeps it from them.
+/// Engines that reset all requests attract work, since they look idle. The reports between hosts prevent that.
 #[test]
-fn engines_that_reset_all_they_get_draw_little_work() {
-    let (alone, together) = (sends_to_sick(false), sends_to_sick(true));
+fn engines_that_reset_all_requests_attract_little_work() {
+    let (alone, together) = (
+        requests_to_resetting_engines(false),
+        requests_to_resetting_engines(true),
+    );
     assert!(alone > 300, "{alone}");
     assert!(together < 60, "{together}");
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/life.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/life.rs
@@ -1,34 +1,34 @@
-//! A refusal says "not run" only where nothing can have run.
+//! A refusal reports "not run" only if the request can't have run.
 
 use crate::each_seed;
 use alderglade_core::error::{Kind, Ran, TABLE};
 use alderglade_core::fleet::life::{Life, Waiting};
 use std::time::Duration;
 
-const AFTER: Duration = Duration::from_millis(100);
+const RETRY_AFTER: Duration = Duration::from_millis(100);
 
 #[test]
 fn a_request_that_was_never_sent_did_not_run() {
-    let refusal = Life::new().refuse(Kind::Overloaded, AFTER);
+    let refusal = Life::new().refuse(Kind::Overloaded, RETRY_AFTER);
     assert_eq!(refusal.ran, Ran::No);
     assert_eq!(refusal.kind, Kind::Overloaded);
-    assert_eq!(refusal.retry_after, Some(AFTER));
+    assert_eq!(refusal.retry_after, Some(RETRY_AFTER));
 }
 
 #[test]
 fn a_disclaimer_after_a_loss_does_not_undo_the_loss() {
     let life = Life::new().send().lost().send().disclaimed();
-    let refusal = life.refuse(Kind::Overloaded, AFTER);
+    let refusal = life.refuse(Kind::Overloaded, RETRY_AFTER);
     assert_ne!(refusal.ran, Ran::No);
 }
 
-/// The statuses that promise that a request did not run.
-fn promises(kind: Kind) -> bool {
+/// Returns whether the status of a kind promises that the request did not run.
+fn promises_not_run(kind: Kind) -> bool {
     matches!(kind.row().status, 408 | 421 | 429 | 503)
 }
 
 #[test]
-fn no_history_with_a_loss_gives_a_status_that_promises() {
+fn no_request_with_a_loss_gets_a_status_that_promises_it_did_not_run() {
     each_seed(40, |u| {
         let mut life: Life<Waiting> = Life::new();
         let mut lost = false;
@@ -45,9 +45,9 @@
         }
         assert_eq!(life.may_have_run(), lost);
         for row in &TABLE {
-            let refusal = life.refuse(row.kind, AFTER);
+            let refusal = life.refuse(row.kind, RETRY_AFTER);
             if lost {
-                assert!(!promises(refusal.kind), "{}", row.label);
+                assert!(!promises_not_run(refusal.kind), "{}", row.label);
                 assert_ne!(refusal.ran, Ran::No, "{}", row.label);
             }
         }
--- a/crates/alderglade-core/tests/testsuite/fleet/loan.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/loan.rs
@@ -1,5 +1,5 @@
-//! Loans between hosts' budgets: the bound holds over all hosts however messages fare, and what is left is spent where
-//! the failures are.
+//! Loans between hosts' retry budgets: the bound holds over all hosts even if messages are lost, late or duplicated,
+//! and unused parts are spent where the failures are.
 
 use super::chance::Chance;
 use alderglade_core::Name;
@@ -18,14 +18,14 @@
     "llm".into()
 }
 
-/// What hosts send each other.
+/// What hosts send to each other.
 #[derive(Clone)]
 enum Message {
-    Ask(Request),
-    Answer(Loan),
+    Request(Request),
+    Loan(Loan),
 }
 
-/// A message on its way.
+/// A message in transit.
 struct Envelope {
     at: Time,
     from: usize,
@@ -35,73 +35,73 @@
 
 struct Host {
     budget: Budget,
-    questions: LoanRequests,
+    loan_requests: LoanRequests,
 }
 
 impl Host {
-    fn start(now: Time, lifetime: u64) -> Host {
+    fn start(now: Time, incarnation: u64) -> Host {
         Host {
             budget: Budget::new(BOUND, now),
-            questions: LoanRequests::new(lifetime << 32),
+            loan_requests: LoanRequests::new(incarnation << 32),
         }
     }
 }
 
-/// Hosts that borrow from each other over a network that loses, doubles and delays.
+/// Hosts that borrow from each other over a network that loses, duplicates and delays messages.
 struct Fleet {
     hosts: Vec<Host>,
-    letters: Vec<Envelope>,
+    envelopes: Vec<Envelope>,
     now: Time,
-    /// Messages of a hundred that are lost.
-    lost: u64,
-    /// Messages of a hundred that come twice.
-    doubled: u64,
-    /// Hosts below this number don't hear the others, nor these them.
-    cut: usize,
+    /// The percentage of messages that are lost.
+    lost_percent: u64,
+    /// The percentage of messages that are duplicated.
+    duplicated_percent: u64,
+    /// Hosts below this number are partitioned from the others.
+    partition: usize,
     requests: Vec<Time>,
-    repeats: Vec<Time>,
-    lifetimes: u64,
+    retries: Vec<Time>,
+    incarnations: u64,
     chance: Chance,
 }
 
 impl Fleet {
-    fn new(hosts: usize, lost: u64, doubled: u64, chance: Chance) -> Fleet {
+    fn new(hosts: usize, lost_percent: u64, duplicated_percent: u64, chance: Chance) -> Fleet {
         Fleet {
             hosts: (0..hosts)
                 .map(|host| Host::start(Time(0), host as u64))
                 .collect(),
-            letters: Vec::new(),
+            envelopes: Vec::new(),
             now: Time(0) + BOUND.window * 3,
-            lost,
-            doubled,
-            cut: 0,
+            lost_percent,
+            duplicated_percent,
+            partition: 0,
             requests: Vec::new(),
-            repeats: Vec::new(),
-            lifetimes: hosts as u64,
+            retries: Vec::new(),
+            incarnations: hosts as u64,
             chance,
         }
     }
 
     fn send(&mut self, from: usize, to: usize, message: &Message) {
-        let copies = if self.chance.below(100) < self.doubled {
+        let copies = if self.chance.below(100) < self.duplicated_percent {
             2
         } else {
             1
         };
         for _ in 0..copies {
-            let is_lost = self.chance.below(100) < self.lost;
-            if is_lost || (from < self.cut) != (to < self.cut) {
+            let is_lost = self.chance.below(100) < self.lost_percent;
+            if is_lost || (from < self.partition) != (to < self.partition) {
                 continue;
             }
-            // Some come long after what they lend may be used.
-            let late = if self.chance.below(20) == 0 {
+            // Some arrive long after their loan has expired.
+            let max_delay = if self.chance.below(20) == 0 {
                 2_000
             } else {
                 30
             };
-            let at = self.now + Duration::from_millis(self.chance.below(late));
+            let at = self.now + Duration::from_millis(self.chance.below(max_delay));
             let message = message.clone();
-            self.letters.push(Envelope {
+            self.envelopes.push(Envelope {
                 at,
                 from,
                 to,
@@ -110,14 +110,14 @@
         }
     }
 
-    /// Delivers what is due.
+    /// Delivers the messages that are due.
     fn deliver(&mut self) {
-        let letters = std::mem::take(&mut self.letters);
-        let (due, later) = letters
+        let envelopes = std::mem::take(&mut self.envelopes);
+        let (due, later) = envelopes
             .into_iter()
-            .partition(|letter| letter.at <= self.now);
+            .partition(|envelope| envelope.at <= self.now);
         let due: Vec<Envelope> = due;
-        self.letters = later;
+        self.envelopes = later;
         let count = self.hosts.len();
         for Envelope {
             from, to, message, ..
@@ -125,13 +125,13 @@
         {
             let host = &mut self.hosts[to];
             match message {
-                Message::Ask(request) => {
+                Message::Request(request) => {
                     let part = host.budget.lend(request.missing, self.now, count);
                     let number = request.number;
-                    self.send(to, from, &Message::Answer(Loan { number, part }));
+                    self.send(to, from, &Message::Loan(Loan { number, part }));
                 }
-                Message::Answer(loan) => {
-                    if let Some(deposit) = host.questions.answer(loan, self.now) {
+                Message::Loan(loan) => {
+                    if let Some(deposit) = host.loan_requests.answer(loan, self.now) {
                         host.budget.deposit(deposit.part, deposit.until);
                     }
                 }
@@ -139,22 +139,22 @@
         }
     }
 
-    /// Lets a host repeat a send if it can, or ask another one.
-    fn repeat(&mut self, from: usize) -> bool {
+    /// Has a host retry a request if its budget allows, or else ask another host for a loan.
+    fn retry(&mut self, from: usize) -> bool {
         let count = self.hosts.len();
         let host = &mut self.hosts[from];
         if host.budget.spend(self.now, count) {
-            self.repeats.push(self.now);
+            self.retries.push(self.now);
             return true;
         }
         let missing = host.budget.missing(self.now, count);
-        let request = host.questions.ask(&service(), missing, self.now);
+        let request = host.loan_requests.ask(&service(), missing, self.now);
         let to = self.chance.host(count);
-        self.send(from, to, &Message::Ask(request));
+        self.send(from, to, &Message::Request(request));
         false
     }
 
-    /// Lets a host do something, or the network change.
+    /// Has a host act or the network change.
     fn step(&mut self, restarted: &mut [bool]) {
         let count = self.hosts.len();
         self.now = self.now + Duration::from_millis(self.chance.below(9));
@@ -165,23 +165,23 @@
                 self.hosts[host].budget.request(self.now);
                 self.requests.push(self.now);
             }
-            50 => self.cut = self.chance.host(count),
-            51 => self.cut = 0,
-            // A host starts again at most once in a window.
+            50 => self.partition = self.chance.host(count),
+            51 => self.partition = 0,
+            // A host restarts at most once in a window.
             52 if !restarted[host] => {
                 restarted[host] = true;
                 self.restart(host);
             }
-            _ => drop(self.repeat(host)),
+            _ => drop(self.retry(host)),
         }
     }
 
     fn restart(&mut self, host: usize) {
-        self.lifetimes += 1;
-        self.hosts[host] = Host::start(self.now, self.lifetimes);
+        self.incarnations += 1;
+        self.hosts[host] = Host::start(self.now, self.incarnations);
     }
 
-    /// Checks each window that ends with a repeat.
+    /// Checks each window that ends with a retry.
     fn check(&self) {
         let within = |times: &[Time], end: Time| {
             let start = end - BOUND.window;
@@ -189,25 +189,25 @@
             let until = times.partition_point(|at| *at <= end);
             (until - before) as f64
         };
-        for end in &self.repeats {
+        for end in &self.retries {
             let most = BOUND.slack + BOUND.ratio * within(&self.requests, *end);
-            let sent = within(&self.repeats, *end);
+            let sent = within(&self.retries, *end);
             assert!(sent <= most, "{sent} of {most} at {end:?}");
         }
     }
 }
 
-/// Messages are lost, late and doubled, the deployment is cut in two and heals, hosts restart, one by one and all at
-/// once, and all of them want more repeats than there are.
+/// Messages are lost, late and duplicated, the network is partitioned and heals, and hosts restart, one by one and
+/// all at once. All hosts want more retries than there are.
 #[test]
-fn all_hosts_together_keep_to_the_bound_in_every_window() {
+fn all_hosts_together_stay_within_the_bound_in_every_window() {
     const STEPS: u64 = 6_000;
     for hosts in [6, 9, 40, 295, 400] {
         for seed in 0..12 {
             let mut chance = Chance(seed);
-            let (lost, doubled) = (chance.below(40), chance.below(40));
+            let (lost_percent, duplicated_percent) = (chance.below(40), chance.below(40));
             let all_restart_at = chance.below(STEPS);
-            let mut fleet = Fleet::new(hosts, lost, doubled, chance);
+            let mut fleet = Fleet::new(hosts, lost_percent, duplicated_percent, chance);
             let mut restarted = vec![false; hosts];
             for step in 0..STEPS {
                 fleet.step(&mut restarted);
@@ -218,76 +218,85 @@
                 }
             }
             fleet.check();
-            assert!(fleet.repeats.len() > 200, "{}", fleet.repeats.len());
+            assert!(fleet.retries.len() > 200, "{}", fleet.retries.len());
         }
     }
 }
 
-/// Servers die, and the requests that they had come back to some of the hosts. With an equal part for each host these have
-/// one repeat each, whatever the others do with theirs.
+/// Servers fail, and their requests return to some of the hosts. With equal parts, each of these hosts could retry
+/// one request, however little the others use.
 #[test]
-fn what_others_have_left_is_spent_where_the_failures_are() {
+fn unused_parts_are_spent_where_the_failures_are() {
     const HOSTS: usize = 295;
     const FAILING: usize = HOSTS / 4;
-    /// Requests that fail at each of them, and hosts that it asks for one.
-    const EACH: usize = 5;
+    /// The failed requests at each of these hosts, and the hosts that it asks for a loan for each.
+    const FAILURES_PER_HOST: usize = 5;
     let now = Time(0) + BOUND.window * 3;
     let mut equal = Budget::new(BOUND, Time(0));
-    let equal = (0..EACH).filter(|_| equal.spend(now, HOSTS)).count();
+    let equal = (0..FAILURES_PER_HOST)
+        .filter(|_| equal.spend(now, HOSTS))
+        .count();
     assert_eq!(equal, 1);
     for seed in 0..4 {
         let mut fleet = Fleet::new(HOSTS, 3, 1, Chance(seed));
-        for host in (0..FAILING).flat_map(|host| [host; EACH]) {
-            for _ in 0..EACH {
-                if fleet.repeat(host) {
+        for host in (0..FAILING).flat_map(|host| [host; FAILURES_PER_HOST]) {
+            for _ in 0..FAILURES_PER_HOST {
+                if fleet.retry(host) {
                     break;
                 }
                 fleet.now = fleet.now + Duration::from_millis(30);
                 fleet.deliver();
             }
         }
-        let served = fleet.repeats.len();
+        let served = fleet.retries.len();
         assert!(
             served > 3 * FAILING * equal,
             "{served} of {}",
-            FAILING * EACH
+            FAILING * FAILURES_PER_HOST
         );
         fleet.check();
     }
 }
 
-fn answered(questions: &mut LoanRequests, loan: Loan, now: Time) -> u32 {
-    questions
+fn accepted_units(loan_requests: &mut LoanRequests, loan: Loan, now: Time) -> u32 {
+    loan_requests
         .answer(loan, now)
         .map_or(0, |deposit| deposit.part)
 }
 
 #[test]
-fn an_answer_counts_once_and_in_its_time() {
-    let mut questions = LoanRequests::new(7);
-    let ask =
-        |questions: &mut LoanRequests| questions.ask(&service(), UNITS_PER_RETRY, Time(0)).number;
-    let number = ask(&mut questions);
+fn an_answer_counts_once_and_only_in_time() {
+    let mut loan_requests = LoanRequests::new(7);
+    let ask = |loan_requests: &mut LoanRequests| {
+        loan_requests
+            .ask(&service(), UNITS_PER_RETRY, Time(0))
+            .number
+    };
+    let number = ask(&mut loan_requests);
     let loan = Loan { number, part: 400 };
-    assert!(questions.is_open(number));
-    assert_eq!(answered(&mut questions, loan, Time(9)), 400);
-    assert!(!questions.is_open(number));
-    assert_eq!(answered(&mut questions, loan, Time(9)), 0, "it came twice");
-    let number = ask(&mut questions);
-    let late = Time(0) + LOAN_LIFETIME + Duration::from_millis(1);
+    assert!(loan_requests.is_open(number));
+    assert_eq!(accepted_units(&mut loan_requests, loan, Time(9)), 400);
+    assert!(!loan_requests.is_open(number));
+    assert_eq!(
+        accepted_units(&mut loan_requests, loan, Time(9)),
+        0,
+        "a duplicate"
+    );
+    let number = ask(&mut loan_requests);
+    let too_late = Time(0) + LOAN_LIFETIME + Duration::from_millis(1);
     assert_eq!(
-        answered(&mut questions, Loan { number, part: 400 }, late),
+        accepted_units(&mut loan_requests, Loan { number, part: 400 }, too_late),
         0
     );
     let foreign = Loan {
         number: 99,
         part: 400,
     };
-    assert_eq!(answered(&mut questions, foreign, Time(9)), 0);
+    assert_eq!(accepted_units(&mut loan_requests, foreign, Time(9)), 0);
 }
 
 #[test]
-fn what_is_lent_is_gone_for_its_lender() {
+fn a_loan_counts_as_spent_at_its_lender() {
     let now = Time(0) + BOUND.window * 3;
     let mut lender = Budget::new(BOUND, Time(0));
     let whole = lender.remaining(now, 295);
@@ -305,7 +314,7 @@
 }
 
 #[test]
-fn parts_of_several_hosts_make_a_retry() {
+fn loans_of_several_hosts_add_up_to_a_retry() {
     let now = Time(0) + BOUND.window * 3;
     let mut budget = Budget::new(BOUND, Time(0));
     while budget.spend(now, 295) {}
@@ -319,11 +328,11 @@
 }
 
 #[test]
-fn after_asking_in_vain_nobody_is_asked_for_a_moment() {
-    let mut questions = LoanRequests::new(0);
-    assert!(questions.may_ask("llm", Time(0)));
-    questions.record_refusal(&service(), Time(0));
-    assert!(!questions.may_ask("llm", Time::from_millis(199)));
-    assert!(questions.may_ask("llm", Time::from_millis(200)));
-    assert!(questions.may_ask("calls", Time(0)));
+fn no_loan_is_requested_for_a_while_after_a_refusal() {
+    let mut loan_requests = LoanRequests::new(0);
+    assert!(loan_requests.may_ask("llm", Time(0)));
+    loan_requests.record_refusal(&service(), Time(0));
+    assert!(!loan_requests.may_ask("llm", Time::from_millis(199)));
+    assert!(loan_requests.may_ask("llm", Time::from_millis(200)));
+    assert!(loan_requests.may_ask("calls", Time(0)));
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/rate_limit.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Limits that servers name: what all hosts together send, however messages fare and hosts come and go.
+//! Rate limits of servers: they hold for all hosts together even if messages are lost or late and hosts come and go.
 
 use super::chance::Chance;
 use super::key;
@@ -9,12 +9,12 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The time over which a limit is kept.
+/// The window over which a limit is checked.
 const WINDOW: Duration = Duration::from_secs(4);
 /// How long a host waits for a grant.
-const ANSWER: Duration = Duration::from_millis(50);
-/// How long it asks no more after it got no answer.
-const NO_ANSWER: Duration = Duration::from_millis(300);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(50);
+/// How long a host asks for no grant after a request without an answer.
+const NO_ANSWER_PAUSE: Duration = Duration::from_millis(300);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -24,7 +24,7 @@
     Rate::per_second(number).expect("a rate")
 }
 
-/// How a host named `own` sees that another one owns the limit.
+/// The view of a host named `own` that `owner` owns the limit.
 fn owned_by(owner: &str) -> OwnerView<'_> {
     OwnerView {
         own: "own",
@@ -33,13 +33,13 @@
     }
 }
 
-/// What hosts send each other.
+/// What hosts send to each other.
 enum Message {
-    Ask(Request),
-    Answer(Grant),
+    Request(Request),
+    Grant(Grant),
 }
 
-/// A message on its way.
+/// A message in transit.
 struct Envelope {
     at: Time,
     from: usize,
@@ -50,26 +50,26 @@
 struct Host {
     name: Name,
     limits: Limits,
-    /// When it comes up, or since when it is.
-    up: Time,
-    /// How late it hears that others have come or gone.
+    /// When it starts or was started.
+    up_since: Time,
+    /// The delay with which it learns that others have come or gone.
     lag: Duration,
-    /// Its questions, and by when they must be answered.
+    /// Its open requests, and by when they must be answered.
     open: HashMap<u64, Time>,
 }
 
-/// How a run goes.
+/// The parameters of a run.
 struct Run {
     rate: f64,
     hosts: usize,
-    /// The latest that a host hears of others that have come or gone, in milliseconds.
-    latest_ms: u64,
-    /// Messages lost, in a hundred.
-    lost: u64,
-    /// The time between two ends of a host, which is back two seconds later.
-    ends_each: Option<Duration>,
-    /// Requests at each host, in a thousand milliseconds.
-    demand: u64,
+    /// The maximum delay with which a host learns that others have come or gone, in milliseconds.
+    max_lag_ms: u64,
+    /// The percentage of messages lost.
+    lost_percent: u64,
+    /// The time between two host failures. A failed host restarts after two seconds.
+    failure_interval: Option<Duration>,
+    /// Requests at each host in a thousand milliseconds.
+    requests_per_second: u64,
 }
 
 /// Hosts that send to one server.
@@ -77,11 +77,11 @@
     run: Run,
     chance: Chance,
     hosts: Vec<Host>,
-    /// For each host, the times at which it came and went, as others hear of them late.
-    ups: Vec<Vec<(Time, bool)>>,
-    letters: Vec<Envelope>,
+    /// For each host, the times at which it came and went. Others learn of them with a delay.
+    availability: Vec<Vec<(Time, bool)>>,
+    envelopes: Vec<Envelope>,
     sends: Vec<Time>,
-    numbers: u64,
+    last_number: u64,
     now: Time,
 }
 
@@ -92,27 +92,27 @@
             .map(|number| Host {
                 name: format!("h{number}").into(),
                 limits: Limits::default(),
-                up: Time(0),
-                lag: ms(chance.below(run.latest_ms)),
+                up_since: Time(0),
+                lag: ms(chance.below(run.max_lag_ms)),
                 open: HashMap::new(),
             })
             .collect();
         let mut world = World {
-            ups: hosts.iter().map(|_| vec![(Time(0), true)]).collect(),
+            availability: hosts.iter().map(|_| vec![(Time(0), true)]).collect(),
             run,
             chance,
             hosts,
-            letters: Vec::new(),
+            envelopes: Vec::new(),
             sends: Vec::new(),
-            numbers: 0,
+            last_number: 0,
             now: Time(0),
         };
-        world.tell_all();
+        world.announce_limit();
         world
     }
 
-    /// Has all hosts hear what the server says for the first time.
-    fn tell_all(&mut self) {
+    /// Has all hosts receive the server's first statement of its limit.
+    fn announce_limit(&mut self) {
         let rate = rate(self.run.rate);
         for host in &mut self.hosts {
             host.limits
@@ -123,14 +123,14 @@
     }
 
     fn is_up(&self, host: usize, at: Time) -> bool {
-        let changes = self.ups[host].iter().rev();
+        let changes = self.availability[host].iter().rev();
         changes
             .clone()
             .find(|(since, _)| *since <= at)
-            .is_some_and(|(_, up)| *up)
+            .is_some_and(|(_, is_up)| *is_up)
     }
 
-    /// Gives the owner of the limit as a host sees it.
+    /// Returns the owner of the limit as seen by a host.
     fn owner(&self, host: usize) -> usize {
         let seen_at = self.now - self.hosts[host].lag;
         let live =
@@ -143,25 +143,34 @@
 
     fn run(&mut self, span: Duration) {
         let end = self.now + span;
-        let mut next_end = self.run.ends_each.map(|each| self.now + each);
+        let mut next_failure = self
+            .run
+            .failure_interval
+            .map(|interval| self.now + interval);
         while self.now < end {
             self.now = self.now + ms(1);
-            if next_end.is_some_and(|at| at <= self.now) {
-                self.end_one();
-                next_end = self.run.ends_each.map(|each| self.now + each);
+            if next_failure.is_some_and(|at| at <= self.now) {
+                self.fail_one();
+                next_failure = self
+                    .run
+                    .failure_interval
+                    .map(|interval| self.now + interval);
             }
             self.deliver();
             for host in 0..self.hosts.len() {
-                self.give_up(host);
-                if self.chance.below(1_000) < self.run.demand && self.is_up(host, self.now) {
-                    self.want(host);
+                self.expire_requests(host);
+                if self.chance.below(1_000) < self.run.requests_per_second
+                    && self.is_up(host, self.now)
+                {
+                    self.try_send(host);
                 }
             }
         }
     }
 
-    /// Ends the host that owns the limit, or another one; it is back after two seconds, and has heard of the limit again.
-    fn end_one(&mut self) {
+    /// Stops the host that owns the limit, or another one. It restarts after two seconds and has received the limit
+    /// again.
+    fn fail_one(&mut self) {
         let drawn = self.chance.host(self.hosts.len());
         let owner = self.owner(drawn);
         let victim = if self.chance.below(2) == 0 {
@@ -172,19 +181,19 @@
         if !self.is_up(victim, self.now) {
             return;
         }
-        let back = self.now + ms(2_000);
-        self.ups[victim].push((self.now, false));
-        self.ups[victim].push((back, true));
+        let restart = self.now + ms(2_000);
+        self.availability[victim].push((self.now, false));
+        self.availability[victim].push((restart, true));
         let mut limits = Limits::default();
-        limits.observe_limit(key("e"), Some(rate(self.run.rate)), back, back);
+        limits.observe_limit(key("e"), Some(rate(self.run.rate)), restart, restart);
         let host = &mut self.hosts[victim];
         host.limits = limits;
-        host.up = back;
+        host.up_since = restart;
         host.open.clear();
     }
 
-    /// Has a host want to send a request.
-    fn want(&mut self, host: usize) {
+    /// Has a host try to send a request.
+    fn try_send(&mut self, host: usize) {
         if !self.hosts[host]
             .limits
             .denied_for(key("e"), self.now)
@@ -192,20 +201,22 @@
         {
             return;
         }
-        self.numbers += 1;
-        let number = self.numbers;
+        self.last_number += 1;
+        let number = self.last_number;
         let asking = &self.hosts[host];
         let request = asking
             .limits
             .request_if_limited(key("e"), &asking.name, number, self.now);
         let request = request.expect("a limit");
         let owner = self.owner(host);
-        self.hosts[host].open.insert(number, self.now + ANSWER);
+        self.hosts[host]
+            .open
+            .insert(number, self.now + ANSWER_TIMEOUT);
         if owner == host {
             let grant = self.grant(host, &request);
-            self.take(host, grant);
+            self.apply_grant(host, grant);
         } else {
-            self.send(host, owner, Message::Ask(request));
+            self.send(host, owner, Message::Request(request));
         }
     }
 
@@ -220,7 +231,7 @@
         granting.limits.grant(request, &view, self.now)
     }
 
-    fn take(&mut self, host: usize, grant: Grant) {
+    fn apply_grant(&mut self, host: usize, grant: Grant) {
         if self.hosts[host].open.remove(&grant.number).is_none() {
             return;
         }
@@ -232,23 +243,23 @@
         }
     }
 
-    /// Has a host wait no longer for answers that are late.
-    fn give_up(&mut self, host: usize) {
+    /// Has a host give up on answers that are overdue.
+    fn expire_requests(&mut self, host: usize) {
         let now = self.now;
         let host = &mut self.hosts[host];
         let before = host.open.len();
         host.open.retain(|_, until| *until > now);
         if host.open.len() < before {
-            host.limits.deny(key("e"), NO_ANSWER, now);
+            host.limits.deny(key("e"), NO_ANSWER_PAUSE, now);
         }
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        if self.chance.below(100) < self.run.lost {
+        if self.chance.below(100) < self.run.lost_percent {
             return;
         }
         let at = self.now + ms(1 + self.chance.below(30));
-        self.letters.push(Envelope {
+        self.envelopes.push(Envelope {
             at,
             from,
             to,
@@ -258,25 +269,25 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, left) = std::mem::take(&mut self.letters)
+        let (due, left) = std::mem::take(&mut self.envelopes)
             .into_iter()
-            .partition(|letter: &Envelope| letter.at <= now);
-        self.letters = left;
-        for letter in due {
-            if !self.is_up(letter.to, now) {
+            .partition(|envelope: &Envelope| envelope.at <= now);
+        self.envelopes = left;
+        for envelope in due {
+            if !self.is_up(envelope.to, now) {
                 continue;
             }
-            match letter.message {
-                Message::Ask(request) => {
-                    let grant = self.grant(letter.to, &request);
-                    self.send(letter.to, letter.from, Message::Answer(grant));
+            match envelope.message {
+                Message::Request(request) => {
+                    let grant = self.grant(envelope.to, &request);
+                    self.send(envelope.to, envelope.from, Message::Grant(grant));
                 }
-                Message::Answer(grant) => self.take(letter.to, grant),
+                Message::Grant(grant) => self.apply_grant(envelope.to, grant),
             }
         }
     }
 
-    /// Gives the most that was sent in one window.
+    /// Returns the maximum number of requests sent in one window.
     fn most_in_a_window(&self) -> usize {
         let from = |first: &Time| {
             let later = self.sends.iter().filter(|at| *at >= first);
@@ -285,26 +296,26 @@
         self.sends.iter().map(from).max().unwrap_or(0)
     }
 
-    /// Gives what a server with this limit may get in one window.
+    /// Returns the number of requests that a server with this limit may get in one window.
     fn allowed(&self) -> usize {
         (self.run.rate * WINDOW.as_secs_f64() * 1.5) as usize + 5
     }
 }
 
-/// Owners come and go, messages are lost, and hosts hear of each other late: no window gets more than it may.
+/// Owners come and go, messages are lost, and hosts learn of each other late. No window may exceed the limit.
 #[test]
-fn all_hosts_together_keep_to_a_limit() {
+fn all_hosts_together_stay_within_a_limit() {
     for seed in 0..60_u64 {
         let mut chance = Chance(seed);
         let hosts = [2, 3, 9, 40, 120][chance.host(5)];
         let run = Run {
             rate: [0.5, 1.2, 1.7, 5.0, 12.0, 30.0][chance.host(6)],
             hosts,
-            // What heartbeats of few hosts and of many allow.
-            latest_ms: if hosts > 40 { 2_600 } else { 900 },
-            lost: chance.below(20),
-            ends_each: (seed % 3 != 0).then(|| ms(1_500 + chance.below(4_000))),
-            demand: [1, 10, 100][chance.host(3)],
+            // The delays that heartbeats of few hosts and of many allow.
+            max_lag_ms: if hosts > 40 { 2_600 } else { 900 },
+            lost_percent: chance.below(20),
+            failure_interval: (seed % 3 != 0).then(|| ms(1_500 + chance.below(4_000))),
+            requests_per_second: [1, 10, 100][chance.host(3)],
         };
         let mut world = World::new(run, seed);
         world.run(Duration::from_secs(20));
@@ -313,17 +324,17 @@
     }
 }
 
-/// What a server takes is used where there is enough to do.
+/// The limit is used up if there is enough demand.
 #[test]
 fn a_limit_is_used() {
     for (hosts, number) in [(1, 1.2), (3, 1.2), (9, 5.0), (9, 30.0), (40, 5.0)] {
         let run = Run {
             rate: number,
             hosts,
-            latest_ms: 900,
-            lost: 1,
-            ends_each: None,
-            demand: 100,
+            max_lag_ms: 900,
+            lost_percent: 1,
+            failure_interval: None,
+            requests_per_second: 100,
         };
         let mut world = World::new(run, 7);
         world.run(Duration::from_secs(20));
@@ -333,7 +344,7 @@
     }
 }
 
-/// Who takes up a limit that was named just now has no one before it to wait for.
+/// The first owner of a limit has no predecessor to wait for.
 #[test]
 fn the_first_owner_grants_at_once() {
     let mut limits = Limits::default();
@@ -347,9 +358,9 @@
     assert_eq!(limits.grant(&request, &owned_by("own"), now).wait_ms, 500);
 }
 
-/// Each of the hosts gets its part: nobody waits for ever behind others that ask more often.
+/// Every host gets its share: none starves behind others that ask more often.
 #[test]
-fn hosts_that_wait_are_told_different_times() {
+fn hosts_that_wait_are_assigned_different_times() {
     let mut limits = Limits::default();
     let now = Time::from_millis(10_000);
     limits.observe_limit(key("e"), Some(rate(2.0)), now, now);
@@ -359,14 +370,14 @@
             .expect("a limit");
         limits.grant(&request, &owned_by("own"), now).wait_ms
     };
-    // An owner begins with nothing: the first grant comes after it has settled, and then one each half second.
+    // A successor's bucket is empty: the first grant follows when it has settled, and then one every half second.
     assert_eq!(wait("a", now), 1_500);
     assert_eq!(wait("b", now), 2_000);
-    assert_eq!(wait("a", now), 1_500, "it has its place");
+    assert_eq!(wait("a", now), 1_500, "it keeps its place");
     assert_eq!(wait("c", now), 2_500);
-    let then = now + ms(1_500);
-    assert_eq!(wait("a", then), 0);
-    assert_eq!(wait("b", then), 500);
+    let later = now + ms(1_500);
+    assert_eq!(wait("a", later), 0);
+    assert_eq!(wait("b", later), 500);
 }
 
 #[test]
@@ -381,9 +392,9 @@
     assert!(limits.grant(&request, &owned_by("other"), later).wait_ms > 0);
 }
 
-/// The owner may not have heard of the limit: the question tells.
+/// The owner may not have received the limit, so the request for a grant carries it.
 #[test]
-fn a_question_tells_the_owner_of_the_limit() {
+fn a_request_for_a_grant_reports_the_limit_to_its_owner() {
     let now = Time::from_millis(10_000);
     let mut asking = Limits::default();
     asking.observe_limit(key("e"), Some(rate(1.0)), now, now);
@@ -395,9 +406,9 @@
     assert_eq!(owner.rate(key("e")), Some(rate(1.0)));
 }
 
-/// Answers pass each other: one that was made before the limit was named says nothing against it.
+/// Answers may overtake each other: one that was sent before the limit was stated doesn't end it.
 #[test]
-fn only_a_later_answer_ends_a_limit() {
+fn only_an_answer_to_a_later_request_ends_a_limit() {
     let mut limits = Limits::default();
     let at = Time::from_millis;
     assert!(limits.observe_limit(key("e"), Some(rate(3.0)), at(100), at(120)));
@@ -408,33 +419,36 @@
     assert!(!limits.observe_limit(key("other"), None, at(125), at(140)));
 }
 
-/// Of two hosts' words the later one counts, and who has heard a later one tells no more.
+/// The later of two reports counts, and a host that received a later one no longer reports its own.
 #[test]
-fn hosts_tell_each_other_what_was_heard_last() {
+fn hosts_report_the_latest_limit_to_each_other() {
     let at = Time::from_millis;
     let mut one = Limits::default();
     let mut other = Limits::default();
     one.observe_limit(key("e"), Some(rate(3.0)), at(100), at(120));
-    for told in one.reports(at(150)) {
-        assert!(other.apply_report(&told, at(152)));
+    for report in one.reports(at(150)) {
+        assert!(other.apply_report(&report, at(152)));
     }
     assert_eq!(other.rate(key("e")), Some(rate(3.0)));
     assert!(
         other.reports(at(160)).is_empty(),
-        "it has it from another host"
+        "it has the limit from another host"
     );
     other.observe_limit(key("e"), None, at(200), at(210));
-    for told in other.reports(at(220)) {
-        assert!(one.apply_report(&told, at(222)));
+    for report in other.reports(at(220)) {
+        assert!(one.apply_report(&report, at(222)));
     }
     assert_eq!(one.rate(key("e")), None);
     assert!(one.reports(at(230)).is_empty());
-    assert!(other.reports(at(20_000)).is_empty(), "all know by then");
+    assert!(
+        other.reports(at(20_000)).is_empty(),
+        "all hosts know by then"
+    );
 }
 
-/// A server's entry may lapse while the store is away, and come back in the same lifetime.
+/// A server's entry may expire while the store is unavailable, and return in the same incarnation.
 #[test]
-fn a_limit_outlasts_an_entry_that_lapses() {
+fn a_limit_outlasts_an_entry_that_expires() {
     let mut limits = Limits::default();
     let now = Time::from_millis(100_000);
     limits.observe_limit(key("e"), Some(rate(3.0)), now, now);
@@ -445,9 +459,12 @@
 }
 
 #[test]
-fn what_is_no_rate_is_none() {
+fn only_valid_numbers_are_rates() {
     assert_eq!(Rate::per_second(-1.0), None);
     assert_eq!(Rate::per_second(f64::NAN), None);
-    assert!(rate(0.0).get() > 0.0, "its end must show");
+    assert!(
+        rate(0.0).get() > 0.0,
+        "a request must still show when the limit ends"
+    );
     assert!(rate(f64::INFINITY).get().is_finite());
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/relay.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/relay.rs
@@ -1,4 +1,4 @@
-//! Which hosts ask the store, and when.
+//! Which hosts query the store, and when.
 
 use alderglade_core::Name;
 use alderglade_core::fleet::group::Division;
@@ -35,25 +35,25 @@
     }
 }
 
-/// Hosts `h0`, `h1`, … of the own failure domain with what each tells.
-struct Heard {
+/// Hosts `h0`, `h1`, … of the own failure domain with the store status that each reports.
+struct Neighbours {
     domain: Name,
     names: Vec<Name>,
-    words: Vec<StoreStatus>,
+    statuses: Vec<StoreStatus>,
 }
 
-impl Heard {
-    fn telling(words: &[StoreStatus]) -> Heard {
+impl Neighbours {
+    fn reporting(statuses: &[StoreStatus]) -> Neighbours {
         let name = |number: usize| format!("h{number}").into();
-        Heard {
+        Neighbours {
             domain: "north".into(),
-            names: (0..words.len()).map(name).collect(),
-            words: words.to_vec(),
+            names: (0..statuses.len()).map(name).collect(),
+            statuses: statuses.to_vec(),
         }
     }
 
     fn list(&self) -> Vec<Neighbour<'_>> {
-        let both = self.names.iter().zip(&self.words);
+        let both = self.names.iter().zip(&self.statuses);
         both.map(|(name, status)| Neighbour {
             name,
             domain: &self.domain,
@@ -64,16 +64,16 @@
     }
 }
 
-/// A relay that has listened for long enough, at the time given back.
-fn settled(own: &LocalStatus<'_>, heard: &Heard) -> (Relay, Time) {
+/// Returns a relay that has listened long enough to take a role, and the time at which it did.
+fn relay_with_role(own: &LocalStatus<'_>, neighbours: &Neighbours) -> (Relay, Time) {
     let mut relay = Relay::default();
-    let began = Time::from_millis(1_000);
+    let start = Time::from_millis(1_000);
     assert_eq!(
-        relay.decide_role(own, &heard.list(), began),
+        relay.decide_role(own, &neighbours.list(), start),
         Role::Unsettled
     );
-    let now = began + ROLE_DELAY;
-    relay.decide_role(own, &heard.list(), now);
+    let now = start + ROLE_DELAY;
+    relay.decide_role(own, &neighbours.list(), now);
     (relay, now)
 }
 
@@ -81,30 +81,36 @@
     relay: &mut Relay,
     topic: Topic,
     own: &LocalStatus<'_>,
-    heard: &Heard,
+    neighbours: &Neighbours,
     now: Time,
 ) -> Option<StoreQuery> {
-    relay.next_query(topic, own, &heard.list(), 0.5, now)
+    relay.next_query(topic, own, &neighbours.list(), 0.5, now)
 }
 
 #[test]
-fn a_host_that_hears_nobody_watches() {
-    let (mut relay, now) = settled(&own("h5"), &Heard::telling(&[]));
+fn a_host_that_hears_no_other_watches() {
+    let (mut relay, now) = relay_with_role(&own("h5"), &Neighbours::reporting(&[]));
     assert_eq!(relay.role(), Role::Watcher);
     for topic in [Topic::Config, Topic::Servers, Topic::Hosts] {
-        let query = query(&mut relay, topic, &own("h5"), &Heard::telling(&[]), now);
+        let query = query(
+            &mut relay,
+            topic,
+            &own("h5"),
+            &Neighbours::reporting(&[]),
+            now,
+        );
         assert_eq!(query, Some(StoreQuery::Watch));
     }
 }
 
 #[test]
 fn two_watchers_are_enough() {
-    let heard = Heard::telling(&[status(true), status(true)]);
-    let (mut relay, now) = settled(&own("h5"), &heard);
+    let neighbours = Neighbours::reporting(&[status(true), status(true)]);
+    let (mut relay, now) = relay_with_role(&own("h5"), &neighbours);
     assert_eq!(relay.role(), Role::Follower);
     for topic in [Topic::Config, Topic::Servers, Topic::Hosts] {
         assert_eq!(
-            query(&mut relay, topic, &own("h5"), &heard, now),
+            query(&mut relay, topic, &own("h5"), &neighbours, now),
             None,
             "{topic:?}"
         );
@@ -113,8 +119,8 @@
 
 #[test]
 fn hosts_of_other_domains_dont_count_as_watchers() {
-    let heard = Heard::telling(&[status(true), status(true)]);
-    let mut list = heard.list();
+    let neighbours = Neighbours::reporting(&[status(true), status(true)]);
+    let mut list = neighbours.list();
     list.iter_mut().for_each(|host| host.same_domain = false);
     let mut relay = Relay::default();
     relay.decide_role(&own("h5"), &list, Time::from_millis(0));
@@ -123,12 +129,12 @@
 }
 
 #[test]
-fn a_lost_watcher_is_replaced_and_steps_back_in() {
-    let both = Heard::telling(&[status(true), status(true)]);
-    let (mut relay, now) = settled(&own("h2"), &both);
-    let one = Heard::telling(&[status(true)]);
+fn a_lost_watcher_is_replaced_until_it_returns() {
+    let both = Neighbours::reporting(&[status(true), status(true)]);
+    let (mut relay, now) = relay_with_role(&own("h2"), &both);
+    let only_one = Neighbours::reporting(&[status(true)]);
     assert_eq!(
-        relay.decide_role(&own("h2"), &one.list(), now),
+        relay.decide_role(&own("h2"), &only_one.list(), now),
         Role::Watcher
     );
     assert_eq!(
@@ -137,12 +143,12 @@
     );
 }
 
-/// The tenth of a second after both watchers were lost in which a host with so many hosts before it steps in.
-fn steps_in(before: usize) -> Option<u32> {
+/// Returns how long after the loss of both watchers a host steps in that `before` hosts precede, in tenths of a second.
+fn tenths_until_step_in(before: usize) -> Option<u32> {
     let name = format!("h{before}");
-    let calm = Heard::telling(&vec![status(true); before]);
-    let outage = Heard::telling(&vec![status(false); before]);
-    let (mut relay, now) = settled(&own(&name), &calm);
+    let calm = Neighbours::reporting(&vec![status(true); before]);
+    let outage = Neighbours::reporting(&vec![status(false); before]);
+    let (mut relay, now) = relay_with_role(&own(&name), &calm);
     (0..200u32).find(|tenth| {
         let now = now + Duration::from_millis(100) * *tenth;
         relay.decide_role(&own(&name), &outage.list(), now) == Role::Watcher
@@ -151,8 +157,11 @@
 
 #[test]
 fn in_an_outage_hosts_step_in_one_after_the_other() {
-    assert_eq!([2, 3].map(steps_in), [Some(3), Some(5)]);
-    assert_eq!([4, 5, 9].map(steps_in), [Some(20), Some(35), Some(95)]);
+    assert_eq!([2, 3].map(tenths_until_step_in), [Some(3), Some(5)]);
+    assert_eq!(
+        [4, 5, 9].map(tenths_until_step_in),
+        [Some(20), Some(35), Some(95)]
+    );
 }
 
 #[test]
@@ -161,27 +170,27 @@
         config: 9,
         ..status(true)
     };
-    let heard = Heard::telling(&[status(true), newer]);
-    let (mut relay, now) = settled(&own("h5"), &heard);
-    let found = query(&mut relay, Topic::Config, &own("h5"), &heard, now);
+    let neighbours = Neighbours::reporting(&[status(true), newer]);
+    let (mut relay, now) = relay_with_role(&own("h5"), &neighbours);
+    let fetch = query(&mut relay, Topic::Config, &own("h5"), &neighbours, now);
     assert!(
-        matches!(found, Some(StoreQuery::Fetch(pause)) if pause < Duration::from_millis(100)),
-        "{found:?}"
+        matches!(fetch, Some(StoreQuery::Fetch(pause)) if pause < Duration::from_millis(100)),
+        "{fetch:?}"
     );
 }
 
 #[test]
-fn servers_that_differ_for_long_are_fetched_now_and_then() {
+fn servers_that_keep_differing_are_fetched_at_intervals() {
     let other = StoreStatus {
         servers: 71,
         ..status(true)
     };
-    let heard = Heard::telling(&[status(true), other]);
-    let (mut relay, now) = settled(&own("h5"), &heard);
+    let neighbours = Neighbours::reporting(&[status(true), other]);
+    let (mut relay, now) = relay_with_role(&own("h5"), &neighbours);
     let mut fetched = Vec::new();
     for tenth in 0..30u32 {
         let now = now + Duration::from_millis(100) * tenth;
-        if query(&mut relay, Topic::Servers, &own("h5"), &heard, now).is_some() {
+        if query(&mut relay, Topic::Servers, &own("h5"), &neighbours, now).is_some() {
             fetched.push(tenth);
         }
     }
@@ -189,20 +198,20 @@
 }
 
 #[test]
-fn a_host_whose_word_is_old_asks_the_store_itself() {
-    let heard = Heard::telling(&[status(true), status(true)]);
-    let (mut relay, now) = settled(&own("h5"), &heard);
-    let old = LocalStatus {
+fn a_host_with_stale_state_queries_the_store() {
+    let neighbours = Neighbours::reporting(&[status(true), status(true)]);
+    let (mut relay, now) = relay_with_role(&own("h5"), &neighbours);
+    let stale = LocalStatus {
         age: Some(Duration::from_millis(3_700)),
         ..own("h5")
     };
-    let first = query(&mut relay, Topic::Config, &old, &heard, now);
+    let first = query(&mut relay, Topic::Config, &stale, &neighbours, now);
     assert!(matches!(first, Some(StoreQuery::Fetch(_))), "{first:?}");
     assert_eq!(
-        query(&mut relay, Topic::Config, &old, &heard, now),
+        query(&mut relay, Topic::Config, &stale, &neighbours, now),
         None,
-        "not twice"
+        "a second call at once is not allowed"
     );
     let later = now + Duration::from_millis(2_500);
-    assert!(query(&mut relay, Topic::Config, &old, &heard, later).is_some());
+    assert!(query(&mut relay, Topic::Config, &stale, &neighbours, later).is_some());
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/slowdown.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/slowdown.rs
@@ -3,7 +3,7 @@
 use alderglade_core::fleet::slowdown::{Suspicion, is_late, is_slow};
 use std::time::Duration;
 
-/// Gives after how many of these pauses the engine is asked, where an idle pass takes 50 ms.
+/// Returns after how many of these pauses the engine is asked, if a pass without prefill takes 50 ms.
 fn asked_after(pauses: &[f64]) -> Option<usize> {
     let mut suspicion = Suspicion::default();
     let asked = |pause: &f64| suspicion.note(*pause, 50.0);
@@ -11,12 +11,12 @@
 }
 
 #[test]
-fn pauses_of_a_slow_engine_are_noticed_soon() {
+fn a_slow_engine_is_detected_after_a_few_pauses() {
     assert_eq!(asked_after(&[200.0, 210.0, 205.0, 200.0]), Some(3));
 }
 
 #[test]
-fn an_engine_that_reads_long_prompts_now_and_then_is_not_suspected() {
+fn an_engine_with_occasional_long_prefills_is_not_suspected() {
     assert_eq!(asked_after(&[60.0, 700.0, 55.0, 300.0, 400.0, 58.0]), None);
 }
 
@@ -28,14 +28,15 @@
 }
 
 #[test]
-fn engines_of_one_service_may_differ_a_little() {
+fn small_differences_between_engines_are_not_slowness() {
     assert!(!is_slow(1.2));
     assert!(is_slow(4.0));
 }
 
-/// From an own day: of nine slow engines the five were never found that only helped to read.
+/// An engine that only takes part in prefill shows no long pauses. Five of nine slow engines were never detected for
+/// this reason.
 #[test]
-fn a_first_event_that_is_very_late_makes_suspicious() {
+fn a_very_late_first_event_is_suspicious() {
     let millis = Duration::from_millis;
     assert!(is_late(millis(200), millis(700)));
     assert!(!is_late(millis(200), millis(600)));
--- a/crates/alderglade-core/tests/testsuite/fleet/sse.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/sse.rs
@@ -1,4 +1,4 @@
-//! Events are cut at their ends however the bytes arrive.
+//! Streams are split at event boundaries, however the bytes arrive.
 
 use crate::each_seed;
 use alderglade_core::fleet::sse::Splitter;
@@ -6,7 +6,7 @@
 const STREAM: &[u8] = b"id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\ndata: c\n\nid: 4\nda";
 
 #[test]
-fn whole_events_come_out_and_the_rest_is_kept() {
+fn complete_events_are_returned_and_the_rest_is_kept() {
     let mut splitter = Splitter::default();
     let events = splitter.push(STREAM);
     let ids: Vec<Option<&str>> = events.iter().map(|event| event.id.as_deref()).collect();
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn nothing_is_lost_wherever_the_bytes_are_cut() {
+fn nothing_is_lost_wherever_the_bytes_are_split() {
     each_seed(40, |u| {
         let mut splitter = Splitter::default();
         let mut out = Vec::new();
