--- a/crates/alderglade-core/src/fleet/config/patch.rs
+++ b/crates/alderglade-core/src/fleet/config/patch.rs
@@ -1,7 +1,7 @@
-//! What differs between two configurations, for hosts that don't watch the store.
+//! The difference between two configurations, for hosts that don't watch the store.
 //!
-//! Most new versions change a few routes or keys of hundreds. A host that has the older version makes the
-//! newer one from the difference, and needs no call to the store for it.
+//! Most new versions change a few routes or keys of hundreds. A host that has the older version builds the
+//! newer one from the difference, without a call to the store.
 
 use super::{Config, Limits, Route, Service};
 use crate::Name;
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The difference of two configurations.
+/// The difference between two configurations.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Patch {
     /// The version that it applies to.
@@ -23,11 +23,11 @@
     services: Vec<Service>,
     dropped_keys: Vec<Name>,
     keys: Vec<Key>,
-    /// The regions of all workspaces that name some.
+    /// The regions of all workspaces that restrict them.
     regions: HashMap<Name, Arc<[Name]>>,
 }
 
-/// Names a route.
+/// Identifies a route.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct RouteKey {
     host: Name,
@@ -35,7 +35,7 @@
     name: Name,
 }
 
-/// A key and whom it opens the door to.
+/// A key and the workspace that it grants access to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Key {
     key: Name,
@@ -51,7 +51,7 @@
         }
     }
 
-    fn names(&self, route: &Route) -> bool {
+    fn matches(&self, route: &Route) -> bool {
         *self.host == *route.host
             && *self.path_prefix == *route.path_prefix
             && *self.name == *route.name
@@ -68,15 +68,15 @@
 }
 
 impl Patch {
-    /// Gives what leads from one configuration to another; `None` where only one of them uses keys.
+    /// Creates the patch that leads from one configuration to another, or returns `None` if only one of them uses keys.
     pub fn between(old: &Config, new: &Config) -> Option<Patch> {
         if old.keys.is_some() != new.keys.is_some() {
             return None;
         }
         let (before, after) = (route_index(old), route_index(new));
         let (old_keys, new_keys) = (key_index(old), key_index(new));
-        let gone = before.keys().filter(|key| !after.contains_key(*key));
-        let fresh = after
+        let removed = before.keys().filter(|key| !after.contains_key(*key));
+        let changed = after
             .iter()
             .filter(|(key, route)| before.get(*key) != Some(*route));
         let services = new.services.values();
@@ -91,8 +91,8 @@
             base: old.version,
             version: new.version,
             limits: new.limits,
-            dropped_routes: gone.cloned().collect(),
-            routes: fresh.map(|(_, route)| (*route).clone()).collect(),
+            dropped_routes: removed.cloned().collect(),
+            routes: changed.map(|(_, route)| (*route).clone()).collect(),
             dropped_services: dropped_services.cloned().collect(),
             services: services.cloned().collect(),
             dropped_keys: dropped_keys.cloned().collect(),
@@ -112,7 +112,7 @@
 }
 
 impl Config {
-    /// Gives the configuration that a patch leads to; `None` where it applies to another version.
+    /// Returns the configuration that a patch leads to, or `None` if the patch applies to another version.
     pub fn patched(&self, patch: &Patch) -> Option<Config> {
         if patch.base != self.version {
             return None;
@@ -124,7 +124,7 @@
         let changed = patch.routes.iter().map(RouteKey::of);
         for key in patch.dropped_routes.iter().cloned().chain(changed) {
             if let Some(list) = next.routes.get_mut(&key.host) {
-                list.retain(|route| !key.names(route));
+                list.retain(|route| !key.matches(route));
             }
         }
         for route in &patch.routes {
