--- a/crates/alderglade-core/src/fleet/load_table/load.rs
+++ b/crates/alderglade-core/src/fleet/load_table/load.rs
@@ -12,7 +12,7 @@
     /// Less than 400 ms: interactive replies.
     Short,
     /// Less than 800 ms: digests.
-    Middle,
+    Medium,
     /// Longer.
     Long,
 }
@@ -20,21 +20,21 @@
 impl PauseClass {
     /// Pauses below this length are short, in milliseconds.
     const SHORT_LIMIT_MS: u128 = 400;
-    /// Pauses below this length that aren't short are middle, in milliseconds.
-    const MIDDLE_LIMIT_MS: u128 = 800;
+    /// Pauses below this length that aren't short are medium, in milliseconds.
+    const MEDIUM_LIMIT_MS: u128 = 800;
 
     /// Returns the class of an answer whose longest tolerated pause is `longest`.
     pub fn of(longest: Duration) -> PauseClass {
         match longest.as_millis() {
             0..PauseClass::SHORT_LIMIT_MS => PauseClass::Short,
-            PauseClass::SHORT_LIMIT_MS..PauseClass::MIDDLE_LIMIT_MS => PauseClass::Middle,
+            PauseClass::SHORT_LIMIT_MS..PauseClass::MEDIUM_LIMIT_MS => PauseClass::Medium,
             _ => PauseClass::Long,
         }
     }
 
     /// All classes, in the order of [`Load::at_risk`].
     pub const ALL: [PauseClass; PAUSE_CLASSES] =
-        [PauseClass::Short, PauseClass::Middle, PauseClass::Long];
+        [PauseClass::Short, PauseClass::Medium, PauseClass::Long];
 }
 
 /// The pauses that the answers of a service tolerate: for each class the shortest one that a route allows.
--- a/crates/alderglade-core/src/fleet/placement/short.rs
+++ b/crates/alderglade-core/src/fleet/placement/short.rs
@@ -88,7 +88,7 @@
     // An engine without answers would be faster, but answering there makes it less suitable for long prompts: it counts
     // as if it were in the middle of a pass.
     let pass = timing::idle_pass(engine);
-    let pass_remaining = engine.backlog.rest.max(pass / 2.0);
+    let pass_remaining = engine.backlog.pass_remaining.max(pass / 2.0);
     let part = engine.profile.read_ms(work.prompt);
     let reading = engine.backlog.queued + part;
     let lateness = LATENESS_COST_MS * value_made_late(work, engine, part);
--- a/crates/alderglade-core/src/fleet/placement/timing.rs
+++ b/crates/alderglade-core/src/fleet/placement/timing.rs
@@ -23,7 +23,7 @@
 /// that reads the queued prompts and the part itself.
 pub(super) fn first_event(engine: &Engine, part: f64) -> f64 {
     let idle_passes = if engine.load.running > 0 { 1.0 } else { 0.5 };
-    engine.backlog.rest + idle_passes * idle_pass(engine) + engine.backlog.queued + part
+    engine.backlog.pass_remaining + idle_passes * idle_pass(engine) + engine.backlog.queued + part
 }
 
 /// Returns the memory that placements may still fill; negative if they have filled more.
--- a/crates/alderglade-core/src/fleet/progress.rs
+++ b/crates/alderglade-core/src/fleet/progress.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Backlog {
     /// The remaining time of the current pass; `0.0` if the engine is idle.
-    pub rest: f64,
+    pub pass_remaining: f64,
     /// The reading time of prompts that wait for the next pass.
     pub queued: f64,
 }
@@ -20,7 +20,7 @@
 impl Backlog {
     /// Returns the sum of both.
     pub fn total(&self) -> f64 {
-        self.rest + self.queued
+        self.pass_remaining + self.queued
     }
 }
 
@@ -77,7 +77,7 @@
     pub fn backlog(&mut self, pace: Pace, now: Time) -> Backlog {
         self.advance(pace, now);
         Backlog {
-            rest: self.pass_ends.left(now).as_secs_f64() * 1_000.0,
+            pass_remaining: self.pass_ends.left(now).as_secs_f64() * 1_000.0,
             queued: self.queued,
         }
     }
--- a/crates/alderglade-core/tests/testsuite/fleet/load_table.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/load_table.rs
@@ -335,7 +335,7 @@
     );
     assert_eq!(
         PauseClass::of(Duration::from_millis(600)),
-        PauseClass::Middle
+        PauseClass::Medium
     );
     assert_eq!(
         PauseClass::of(Duration::from_millis(1_000)),
--- a/crates/alderglade-core/tests/testsuite/fleet/placement.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/placement.rs
@@ -132,7 +132,7 @@
 #[test]
 fn a_short_prompt_that_is_in_time_waits_a_little_to_leave_another_engine_free() {
     let mut engines = engines_with_answers_at_the_last();
-    engines[17].backlog.rest = 50.0;
+    engines[17].backlog.pass_remaining = 50.0;
     assert_eq!(plan(choose(&short(), &engines, &CALM)).primary, key("e17"));
 }
 
@@ -146,7 +146,7 @@
 #[test]
 fn a_short_prompt_avoids_an_engine_with_a_long_pass() {
     let mut engines = engines(4);
-    engines[3].backlog.rest = 400.0;
+    engines[3].backlog.pass_remaining = 400.0;
     assert_ne!(plan(choose(&short(), &engines, &CALM)).primary, key("e03"));
 }
 
@@ -366,7 +366,7 @@
     assert_eq!(pressure(&engines), 0.0);
     engines[0].backlog.queued = 120.0;
     assert!((pressure(&engines) - 0.5).abs() < 1e-9);
-    engines[1].backlog.rest = 9_000.0;
+    engines[1].backlog.pass_remaining = 9_000.0;
     assert_eq!(pressure(&engines), 1.0);
     assert_eq!(pressure(&[]), 0.0);
 }
@@ -379,7 +379,7 @@
         for engine in &mut engines {
             engine.load.running = u.int_in_range(0..=20)?;
             engine.load.memory = u.int_in_range(0..=230_000)?;
-            engine.backlog.rest = f64::from(u.int_in_range(0..=600u16)?);
+            engine.backlog.pass_remaining = f64::from(u.int_in_range(0..=600u16)?);
             engine.backlog.queued = f64::from(u.int_in_range(0..=900u16)?);
             engine.load.at_risk[u.int_in_range(0..=2)?] = u.int_in_range(0..=20_000)?;
             engine.suspect = u.ratio(1, 10)?;
--- a/crates/alderglade-core/tests/testsuite/fleet/progress.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/progress.rs
@@ -25,7 +25,7 @@
     assert_eq!(progress.backlog(IDLE, ms(900)).total(), 0.0);
     progress.add_reading(200.0, IDLE, ms(1_000));
     let backlog = progress.backlog(IDLE, ms(1_050));
-    assert_eq!((backlog.rest, backlog.queued), (150.0, 0.0));
+    assert_eq!((backlog.pass_remaining, backlog.queued), (150.0, 0.0));
     assert_eq!(progress.backlog(IDLE, ms(1_300)).total(), 0.0);
 }
 
@@ -36,9 +36,9 @@
     progress.add_reading(100.0, IDLE, ms(1_050));
     progress.add_reading(300.0, IDLE, ms(1_100));
     let backlog = progress.backlog(IDLE, ms(1_100));
-    assert_eq!((backlog.rest, backlog.queued), (100.0, 400.0));
+    assert_eq!((backlog.pass_remaining, backlog.queued), (100.0, 400.0));
     let backlog = progress.backlog(IDLE, ms(1_250));
-    assert_eq!((backlog.rest, backlog.queued), (350.0, 0.0));
+    assert_eq!((backlog.pass_remaining, backlog.queued), (350.0, 0.0));
 }
 
 #[test]
@@ -47,11 +47,14 @@
     progress.add_reading(200.0, WRITING, ms(1_000));
     let backlog = progress.backlog(WRITING, ms(1_000));
     // A pass was in progress that began at an unknown time.
-    assert!(backlog.rest > 0.0 && backlog.rest <= 50.0, "{backlog:?}");
+    assert!(
+        backlog.pass_remaining > 0.0 && backlog.pass_remaining <= 50.0,
+        "{backlog:?}"
+    );
     assert_eq!(backlog.queued, 200.0);
-    let begun = ms(1_000) + Duration::from_secs_f64(backlog.rest / 1_000.0);
+    let begun = ms(1_000) + Duration::from_secs_f64(backlog.pass_remaining / 1_000.0);
     let backlog = progress.backlog(WRITING, begun);
-    assert_eq!((backlog.rest, backlog.queued), (250.0, 0.0));
+    assert_eq!((backlog.pass_remaining, backlog.queued), (250.0, 0.0));
 }
 
 #[test]
@@ -61,7 +64,7 @@
     progress.add_reading(100.0, WRITING, ms(1_000));
     progress.end_pass(WRITING, ms(1_010));
     let backlog = progress.backlog(WRITING, ms(1_010));
-    assert_eq!((backlog.rest, backlog.queued), (350.0, 0.0));
+    assert_eq!((backlog.pass_remaining, backlog.queued), (350.0, 0.0));
 }
 
 #[test]
@@ -95,7 +98,7 @@
             let backlog = progress.backlog(IDLE, Time(now));
             let differs =
                 |millis: f64, micros: u64| (millis - micros as f64 / 1_000.0).abs() > 1e-6;
-            assert!(!differs(backlog.rest, ends - now), "{backlog:?}");
+            assert!(!differs(backlog.pass_remaining, ends - now), "{backlog:?}");
             assert!(!differs(backlog.queued, queued), "{backlog:?}");
         }
         Ok(())
