--- a/crates/alderglade-serve/src/attempt.rs
+++ b/crates/alderglade-serve/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to a backend server, and what became of it.
+//! One send of a request to a backend server, and the handling of its failure.
 
 use crate::client::{Error, Exchange};
 use crate::clock;
@@ -18,24 +18,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What became of a send whose answer doesn't count.
+/// Why a send has no valid response.
 #[derive(Debug)]
-pub enum Miss {
+pub enum SendFailure {
     /// Nothing was sent.
     NotSent,
-    /// Nothing was sent, since nobody listens at the server's address.
+    /// Nothing was sent: the server's machine refused the connection.
     Closed,
-    /// The server says that it did not run the request, and maybe where the server at fault is.
+    /// The server reports that it did not run the request, and possibly the address of the server at fault.
     Disclaimed(Option<SocketAddr>),
     /// The request may have run.
     Lost,
 }
 
-/// Sends a job to a server and waits for the head of the answer. Nothing is sent where the permit doesn't hold any more.
+/// Sends a job to a server and waits for the head of the response. Sends nothing if the permit is no longer valid.
 ///
 /// # Errors
 ///
-/// Where there is no answer, or it isn't this request's.
+/// Returns an error if there is no response, or if it belongs to another request.
 pub async fn send(
     node: &Rc<Node>,
     job: &Job,
@@ -43,139 +43,153 @@
     permit: Permit,
     helpers: Vec<Helper>,
     last_event: Option<String>,
-    number: u32,
-) -> Result<(Exchange, Reply), Miss> {
+    attempt: u32,
+) -> Result<(Exchange, Reply), SendFailure> {
     if !node.may_run_at(&job.homes, server) {
-        tell(
+        log_failure(
             job,
             server,
-            number,
+            attempt,
             "the server is in no home of the request",
         );
-        return Err(Miss::NotSent);
+        return Err(SendFailure::NotSent);
     }
     if !node.is_valid(&permit) {
-        tell(job, server, number, "the server takes nothing now");
-        return Err(Miss::NotSent);
+        log_failure(job, server, attempt, "the server takes nothing now");
+        return Err(SendFailure::NotSent);
     }
     let dispatch = Dispatch {
         server: server.id().clone(),
-        time_left: job.left(),
+        time_left: job.time_left(),
         workspace: job.workspace.clone(),
         helpers,
         last_event,
     };
-    let fresh = !job.route.kind.is_repeatable();
-    let request = outgoing(node, job, &dispatch);
-    let sent = clock::now();
-    let exchange = match node.client.send(server.address, request, fresh).await {
+    let needs_new_connection = !job.route.kind.is_repeatable();
+    let request = build_request(node, job, &dispatch);
+    let sent_at = clock::now();
+    let exchange = match node
+        .client
+        .send(server.address, request, needs_new_connection)
+        .await
+    {
         Ok(exchange) => exchange,
-        Err(error) => return Err(unanswered(node, job, server, number, &error).await),
+        Err(error) => return Err(handle_error(node, job, server, attempt, &error).await),
     };
     let head = &exchange.head;
     let statement = node.translator.statement(head.status, &head.headers);
-    node.apply_statement(server, &statement, sent);
+    node.apply_statement(server, &statement, sent_at);
     let reply = node.translator.reply(&head.headers);
-    let own = reply.id.as_ref().is_none_or(|id| *id == job.info.id);
-    if !own {
-        tell(job, server, number, "the answer belongs to another request");
+    let is_own = reply.id.as_ref().is_none_or(|id| *id == job.info.id);
+    if !is_own {
+        log_failure(
+            job,
+            server,
+            attempt,
+            "the answer belongs to another request",
+        );
         node.record_outcome(server.key(), Outcome::Failed);
-        return Err(Miss::Lost);
+        return Err(SendFailure::Lost);
     }
     if reply.not_run || exchange.head.status == StatusCode::MISDIRECTED_REQUEST {
-        tell(job, server, number, "the server did not run it");
-        return Err(Miss::Disclaimed(reply.at_fault));
+        log_failure(job, server, attempt, "the server did not run it");
+        return Err(SendFailure::Disclaimed(reply.at_fault));
     }
     Ok((exchange, reply))
 }
 
-async fn unanswered(
+async fn handle_error(
     node: &Rc<Node>,
     job: &Job,
     server: &Server,
-    number: u32,
+    attempt: u32,
     error: &Error,
-) -> Miss {
-    tell(job, server, number, &error.to_string());
+) -> SendFailure {
+    log_failure(job, server, attempt, &error.to_string());
     match error {
         Error::Unreachable { .. } => {
             node.record_outcome(server.key(), Outcome::Silent);
-            Miss::NotSent
+            SendFailure::NotSent
         }
         Error::Closed { .. } => {
             node.record_outcome(server.key(), Outcome::Closed);
-            Miss::Closed
+            SendFailure::Closed
         }
-        Error::NotSent => Miss::NotSent,
+        Error::NotSent => SendFailure::NotSent,
         Error::Lost { .. } => {
             node.record_outcome(server.key(), Outcome::Broken);
-            // Others are told at once: they may be about to send there too.
+            // Peers are notified immediately: they may be about to send to that server, too.
             node.loads_changed.notify_one();
-            broken_off(node, job, server, None).await;
-            Miss::Lost
+            handle_broken_off(node, job, server, None).await;
+            SendFailure::Lost
         }
     }
 }
 
-/// How long a request whose server is silent waits until another one is looked for again, after none could take it.
-pub const LOOK_AGAIN: Duration = Duration::from_millis(300);
-/// What is told of a server that has used all of a request's time.
-pub const NO_ANSWER: &str = "no answer in the time allowed";
+/// Delay before a replacement for a silent server is looked for again, after no server could take the request.
+pub const REPLACEMENT_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Problem logged for a server that used all of a request's time.
+pub const NO_ANSWER_IN_TIME: &str = "no answer in the time allowed";
 
-/// What is told of a server that has started again.
-pub const STARTED_AGAIN: &str = "the server has started again";
+/// Problem logged for a server that restarted.
+pub const RESTARTED: &str = "the server has started again";
 
-/// Notes that a server has said nothing for as long as it may, and writes so.
-pub fn note_silent(node: &Node, job: &Job, server: &Server, attempt: u32, problem: &str) {
-    tell(job, server, attempt, problem);
+/// Records and logs that a server was silent for longer than allowed.
+pub fn record_silence(node: &Node, job: &Job, server: &Server, attempt: u32, problem: &str) {
+    log_failure(job, server, attempt, problem);
     node.record_outcome(server.key(), Outcome::Silent);
 }
 
-/// Waits until a server has started again, and writes so: what was sent to it ended with its former lifetime.
-pub async fn over(node: &Node, job: &Job, server: &Server, attempt: u32) {
+/// Waits until a server has restarted and logs it: a request that was sent to it ended with the former incarnation.
+pub async fn wait_until_restarted(node: &Node, job: &Job, server: &Server, attempt: u32) {
     node.wait_until_superseded(server).await;
-    tell(job, server, attempt, STARTED_AGAIN);
+    log_failure(job, server, attempt, RESTARTED);
 }
 
-/// Notes that a server broke a request off, and has it looked at whether the server has ended. `began` is when the
-/// request's first event came, if one did.
+/// Records that a server broke a request off and starts a check whether the server has ended. `first_event_at` is
+/// when the request's first event arrived, if one did.
 ///
-/// Returns at once, but for a request that is suspected already: that one is not sent on before it is known whether this
-/// end is another one under it.
-pub async fn broken_off(node: &Rc<Node>, job: &Job, server: &Server, began: Option<Time>) {
-    /// Some ways there and back between failure domains; who is dark takes longer, and has not ended.
-    const PATIENCE: Duration = Duration::from_millis(50);
-    let ran = began.map(|began| clock::now().since(began));
-    // A server that was leaving has ended as it was asked to, whatever it still had.
+/// Returns immediately, unless the request is already suspected of ending servers. Such a request must not be sent on
+/// before it is known whether this is another server that ended under it.
+pub async fn handle_broken_off(
+    node: &Rc<Node>,
+    job: &Job,
+    server: &Server,
+    first_event_at: Option<Time>,
+) {
+    /// Several round trips between failure domains. A server that is unreachable takes longer, and has not ended.
+    const CHECK_TIMEOUT: Duration = Duration::from_millis(50);
+    let ran = first_event_at.map(|at| clock::now().since(at));
+    // A server that was leaving ended as planned, whatever work it still had.
     if node.is_active(server.key()) {
         node.record_interruption(job.fingerprint, server.key(), ran);
     }
-    let inspection = Inspection {
+    let check = ServerCheck {
         node: node.clone(),
         id: job.info.id.clone(),
         fingerprint: job.fingerprint,
         server: server.clone(),
         ran,
     };
-    let look = tokio::task::spawn_local(inspection.run());
+    let check_task = tokio::task::spawn_local(check.run());
     if node.is_suspect(job.fingerprint) {
-        // In vain or not, what is known then counts.
-        let _ = tokio::time::timeout(PATIENCE, look).await;
+        // Whether the check finished or timed out, what is known by then counts.
+        let _ = tokio::time::timeout(CHECK_TIMEOUT, check_task).await;
     }
 }
 
-/// A look at a server that broke a request off.
-struct Inspection {
+/// A check of a server that broke a request off.
+struct ServerCheck {
     node: Rc<Node>,
     id: Name,
     fingerprint: Fingerprint,
     server: Server,
-    /// How long the request had run there, if it had begun.
+    /// How long the request had run there since its first event, if one arrived.
     ran: Option<Duration>,
 }
 
-impl Inspection {
-    /// Looks whether the server has ended. The connection shows only that it broke: a fault of the way there looks the same.
+impl ServerCheck {
+    /// Checks whether the server has ended. The connection shows only that it broke; a network fault looks the same.
     async fn run(self) {
         let address = self.server.address;
         let ended = self.node.client.listens(address).await == Some(false);
@@ -192,8 +206,8 @@
     }
 }
 
-/// Writes that a try failed.
-pub fn tell(job: &Job, server: &Server, attempt: u32, problem: &str) {
+/// Logs that an attempt failed.
+pub fn log_failure(job: &Job, server: &Server, attempt: u32, problem: &str) {
     event::write(&Record::AttemptFailed {
         id: &job.info.id,
         server: server.id(),
@@ -202,7 +216,7 @@
     });
 }
 
-fn outgoing(node: &Rc<Node>, job: &Job, dispatch: &Dispatch) -> Request<Full<Bytes>> {
+fn build_request(node: &Rc<Node>, job: &Job, dispatch: &Dispatch) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(job.body.clone()));
     *request.method_mut() = job.method.clone();
     *request.uri_mut() = job.target.clone();
--- a/crates/alderglade-serve/src/body_sender.rs
+++ b/crates/alderglade-serve/src/body_sender.rs
@@ -66,7 +66,7 @@
     }
 
     /// Waits until another piece may probably be given to the caller, or the caller has left.
-    pub(crate) async fn room(&self) {
+    pub(crate) async fn writable(&self) {
         let freed = async {
             while !self.is_empty() && self.pool.left() < USUAL {
                 self.flights.landed.notified().await;
@@ -83,7 +83,7 @@
     /// # Errors
     ///
     /// Where the caller has left.
-    pub(crate) async fn hand_on(&self, bytes: Bytes) -> Result<(), CallerGone> {
+    pub(crate) async fn send(&self, bytes: Bytes) -> Result<(), CallerGone> {
         let mut kept = Portion::new(&self.pool);
         while !self.is_empty() && !kept.grow(bytes.len()) {
             tokio::select! {
--- a/crates/alderglade-serve/src/client.rs
+++ b/crates/alderglade-serve/src/client.rs
@@ -327,7 +327,7 @@
         };
         match self.collect_while(within_bound).await? {
             Collected::Whole(response) => Ok(response),
-            Collected::Partly(..) => Err(Error::Lost {
+            Collected::Partial(..) => Err(Error::Lost {
                 reason: "the answer is too long".to_string(),
             }),
         }
@@ -351,7 +351,7 @@
             collected.extend_from_slice(&data);
             if !grow(data.len()) {
                 let response = Response::from_parts(self.head, collected.freeze());
-                return Ok(Collected::Partly(response, rest));
+                return Ok(Collected::Partial(response, rest));
             }
         }
         rest.connection.recycle();
@@ -365,7 +365,7 @@
     /// All of it.
     Whole(Response<Bytes>),
     /// Its beginning, with what is still to come.
-    Partly(Response<Bytes>, Rest),
+    Partial(Response<Bytes>, Rest),
 }
 
 /// The part of an answer that is still to come.
--- a/crates/alderglade-serve/src/clock.rs
+++ b/crates/alderglade-serve/src/clock.rs
@@ -62,7 +62,7 @@
 ///
 /// A process that stood still finds all its timers due at once, and beside them the answers that they were waiting for.
 /// Each turn lets the sockets be read and the tasks run that pass on what came.
-pub async fn patience(span: Duration) {
+pub async fn sleep_and_yield(span: Duration) {
     /// From the socket to whoever waits: the head of an answer, its body, and one to spare.
     const TURNS: usize = 3;
     sleep(span).await;
--- a/crates/alderglade-serve/src/forward.rs
+++ b/crates/alderglade-serve/src/forward.rs
@@ -1,4 +1,4 @@
-//! Takes one request from a caller's connection: who it is for, what it may do, who serves it.
+//! Handles one request from a caller's connection: admits it, determines its route and has it served.
 
 use crate::answer::{self, Content as Answer};
 use crate::body;
@@ -23,13 +23,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// When a caller should come back to a host that can't serve yet, is cut off or stops: about when the
-/// balancer has noticed and sends it elsewhere.
-const ELSEWHERE: Duration = Duration::from_millis(300);
+/// Retry delay for callers of a host that cannot serve yet, is disconnected from the store or is stopping: about the
+/// time in which the balancer notices and routes them to another host.
+const RETRY_ELSEWHERE_DELAY: Duration = Duration::from_millis(300);
 
-/// How long a request waits at a host that has just started for its configuration and its first list of
-/// servers. Where all hosts start at once, the store gives them to each within about 300 ms.
-const START_PATIENCE: Duration = Duration::from_millis(500);
+/// How long a request waits at a host that has just started for its configuration and its first list of servers. When
+/// all hosts start at once, the store delivers them to each host within about 300 ms.
+const STARTUP_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Answers one request.
 pub async fn serve(node: Rc<Node>, request: Request<Incoming>) -> Response<Answer> {
@@ -42,15 +42,17 @@
     };
     let id = info.id.clone();
     in_flight.progress.set_id(&id);
-    let mut guard = Guard {
+    let mut guard = CallerLeftGuard {
         progress: in_flight.progress.clone(),
         done: false,
     };
     let result = tokio::select! {
         biased;
-        result = let_in(&node, head, body, info, &in_flight) => result,
-        // Its body has not come to its end.
-        () = node.wait_for_request_end() => Err(Refusal::new(ErrorKind::Draining, ELSEWHERE)),
+        result = admit_request(&node, head, body, info, &in_flight) => result,
+        // The body is still incomplete.
+        () = node.wait_for_request_end() => {
+            Err(Refusal::new(ErrorKind::Draining, RETRY_ELSEWHERE_DELAY))
+        }
     };
     let mut response = match result {
         Err(refusal) => refuse(&node, &id, &refusal, arrived),
@@ -63,8 +65,8 @@
     response
 }
 
-/// Has a request served. One that has no answer when the host is about to end gets one too: that nobody knows whether it
-/// ran.
+/// Serves an admitted request. If the host is about to stop before there is a response, the caller is informed that
+/// it is unknown whether the request ran.
 async fn answer(node: &Rc<Node>, job: Job, in_flight: InFlight) -> Response<Answer> {
     let (id, arrived) = (job.info.id.clone(), job.arrived());
     let served = async {
@@ -83,22 +85,21 @@
     }
 }
 
-/// Has a caller's connection closed after an answer: a caller whose connection stays here would come back to a host
-/// that is about to refuse it.
+/// Closes the caller's connection after the response. A caller that kept its connection would return to a host that
+/// is about to refuse it.
 fn end_connection(response: &mut Response<Answer>) {
     let close = HeaderValue::from_static("close");
     let headers = response.headers_mut();
     headers.insert(http::header::CONNECTION, close);
 }
 
-/// Writes that a caller has left, where a request is dropped before it is done and not cut off by the end of the host.
-struct Guard {
-    /// The request.
+/// Logs that a caller left if a request is dropped before it is done, unless the stop of the host cut it off.
+struct CallerLeftGuard {
     progress: Rc<Progress>,
     done: bool,
 }
 
-impl Drop for Guard {
+impl Drop for CallerLeftGuard {
     fn drop(&mut self) {
         if !self.done && !self.progress.is_cut_off() {
             let id = self.progress.id();
@@ -107,11 +108,11 @@
     }
 }
 
-/// Writes down a refusal and makes its answer.
+/// Logs a refusal and builds its response.
 pub fn refuse(node: &Node, id: &str, refusal: &Refusal, arrived: Time) -> Response<Answer> {
     let row = refusal.kind.row();
     let now = clock::now();
-    let age = node.state.borrow().freshness.age(now);
+    let store_age = node.state.borrow().freshness.age(now);
     node.metrics.answers.with_label_values(&[row.label]).inc();
     event::write(&Record::Refused {
         id,
@@ -119,59 +120,60 @@
         number: row.event,
         ran: refusal.ran.label(),
         took_ms: now.since(arrived).as_millis() as u64,
-        store_age_ms: age.map(|age| age.as_millis() as u64),
+        store_age_ms: store_age.map(|age| age.as_millis() as u64),
         stopping_ms: node.stopping_ms(),
     });
     answer::refusal(refusal)
 }
 
-/// Takes a request in: it may be served, its body has come, and its service is known.
-async fn let_in(
+/// Admits a request: checks that it may be served, reads its body and determines its service.
+async fn admit_request(
     node: &Rc<Node>,
     head: Parts,
     body: Incoming,
     info: RequestInfo,
     in_flight: &InFlight,
 ) -> Result<Job, Refusal> {
-    let config = node.wait_for_config(START_PATIENCE).await;
-    let config = config.ok_or_else(|| Refusal::new(ErrorKind::NotReady, ELSEWHERE))?;
+    let config = node.wait_for_config(STARTUP_TIMEOUT).await;
+    let config = config.ok_or_else(|| Refusal::new(ErrorKind::NotReady, RETRY_ELSEWHERE_DELAY))?;
     let Admission { route, workspace } = admit(node, &config, &head, &info)?;
-    let asked = info.time_limit.unwrap_or(route.time_limit);
+    let time_limit = info.time_limit.unwrap_or(route.time_limit);
     let progress = in_flight.progress.clone();
-    let ends = progress.arrived + asked.min(route.time_limit);
-    let mut kept = Portion::new(&node.memory);
-    let body = read_body(body, config.limits.max_body_bytes, ends, &mut kept).await?;
-    // The body may have come long after its head: the host may stop by now.
+    let deadline = progress.arrived + time_limit.min(route.time_limit);
+    let mut memory = Portion::new(&node.memory);
+    let body = read_body(body, config.limits.max_body_bytes, deadline, &mut memory).await?;
+    // The body may arrive long after the head; the host may have begun to stop in the meantime.
     if !node.accepts_requests() {
-        return Err(Refusal::new(ErrorKind::Draining, ELSEWHERE));
+        return Err(Refusal::new(ErrorKind::Draining, RETRY_ELSEWHERE_DELAY));
     }
-    let draw = rand::rng().random::<f64>();
-    let service = route.target(draw).map(|target| target.service.clone());
-    let service = service.ok_or_else(|| Refusal::new(ErrorKind::NoCapacity, ELSEWHERE))?;
-    let asked = fingerprint(&head, workspace.as_deref(), &body);
-    if let Some(left) = node.barred_for(asked) {
+    let random = rand::rng().random::<f64>();
+    let service = route.target(random).map(|target| target.service.clone());
+    let service =
+        service.ok_or_else(|| Refusal::new(ErrorKind::NoCapacity, RETRY_ELSEWHERE_DELAY))?;
+    let request_fingerprint = fingerprint(&head, workspace.as_deref(), &body);
+    if let Some(left) = node.barred_for(request_fingerprint) {
         return Err(Refusal::new(ErrorKind::Quarantined, left));
     }
     let homes = config.homes(&route, workspace.as_deref());
     Ok(Job {
         info,
-        fingerprint: asked,
+        fingerprint: request_fingerprint,
         method: head.method,
         target: head.uri,
         headers: head.headers,
         body,
-        kept,
+        memory,
         route,
         service,
         workspace,
         homes,
         config: config.version,
         progress,
-        ends,
+        deadline,
     })
 }
 
-/// Gives the digest of what was asked.
+/// Returns the request's fingerprint.
 fn fingerprint(head: &Parts, workspace: Option<&str>, body: &[u8]) -> Fingerprint {
     let target = head.uri.path_and_query();
     let content = Content {
@@ -184,22 +186,22 @@
     content.fingerprint()
 }
 
-/// Gives the name of the host that a request is sent to.
+/// Returns the `Host` header of a request, or an empty string.
 fn host(head: &Parts) -> &str {
     let host = head.headers.get(http::header::HOST);
     host.and_then(|host| host.to_str().ok()).unwrap_or_default()
 }
 
-/// What a request may do.
+/// The result of the access check.
 struct Admission {
-    /// The route that it takes.
+    /// The route that the request takes.
     route: Route,
-    /// The workspace that it is for; none on a public route.
+    /// The workspace that the request is for; `None` on a public route.
     workspace: Option<Name>,
 }
 
-/// Finds the route and checks the key. A host whose word of the store is too old to trust keys
-/// refuses what it would have to judge by them, and denies nothing.
+/// Finds the route and checks the key. A host whose store data is too old to trust keys refuses every request that
+/// depends on a key as `platform_unavailable`, and denies none.
 fn admit(
     node: &Node,
     config: &Config,
@@ -207,12 +209,12 @@
     info: &RequestInfo,
 ) -> Result<Admission, Refusal> {
     let trusted = node.trusts_keys();
-    let cut_off = || Refusal::new(ErrorKind::PlatformUnavailable, ELSEWHERE);
+    let store_disconnected = || Refusal::new(ErrorKind::PlatformUnavailable, RETRY_ELSEWHERE_DELAY);
     let Some(route) = config.route(host(head), head.uri.path()) else {
         return Err(if trusted {
             Refusal::new(ErrorKind::NotFound, Duration::ZERO)
         } else {
-            cut_off()
+            store_disconnected()
         });
     };
     match config.access(route, info.key.as_deref()) {
@@ -220,7 +222,7 @@
             route: route.clone(),
             workspace: None,
         }),
-        _ if !trusted => Err(cut_off()),
+        _ if !trusted => Err(store_disconnected()),
         Access::Workspace(name) => Ok(Admission {
             route: route.clone(),
             workspace: Some(name),
@@ -229,43 +231,46 @@
     }
 }
 
-/// Gives what a request's head says.
+/// Parses a request's head.
 fn read_head(node: &Node, head: &Parts) -> Result<RequestInfo, Refusal> {
     node.translator.ask(&head.headers).map_err(|problem| {
-        log::debug!("a head can't be read: {problem}");
+        log::debug!("malformed request head: {problem}");
         Refusal::new(ErrorKind::BadRequest, Duration::ZERO)
     })
 }
 
-/// Takes a whole body, within its bound, its time and the host's memory.
+/// Reads a whole body within its size limit, its deadline and the host's memory.
 async fn read_body(
     body: Incoming,
-    most: usize,
-    ends: Time,
-    kept: &mut Portion,
+    max_bytes: usize,
+    deadline: Time,
+    memory: &mut Portion,
 ) -> Result<Bytes, Refusal> {
-    match clock::timeout_at(ends, collect_body(body, most, kept)).await {
+    match clock::timeout_at(deadline, collect_body(body, max_bytes, memory)).await {
         Ok(collected) => collected,
-        Err(_) => Err(Refusal::new(ErrorKind::ExpiredWaiting, ELSEWHERE)),
+        Err(_) => Err(Refusal::new(
+            ErrorKind::ExpiredWaiting,
+            RETRY_ELSEWHERE_DELAY,
+        )),
     }
 }
 
 async fn collect_body(
     mut body: Incoming,
-    most: usize,
-    kept: &mut Portion,
+    max_bytes: usize,
+    memory: &mut Portion,
 ) -> Result<Bytes, Refusal> {
     let mut collected = BytesMut::new();
     let broke_off = |error| {
-        log::debug!("a body broke off: {error}");
+        log::debug!("request body broke off: {error}");
         Refusal::new(ErrorKind::BadRequest, Duration::ZERO)
     };
     while let Some(data) = body::next(&mut body).await.map_err(broke_off)? {
-        if collected.len() + data.len() > most {
+        if collected.len() + data.len() > max_bytes {
             return Err(Refusal::new(ErrorKind::TooLarge, Duration::ZERO));
         }
-        if !kept.grow(data.len()) {
-            return Err(Refusal::new(ErrorKind::HostBusy, ELSEWHERE));
+        if !memory.grow(data.len()) {
+            return Err(Refusal::new(ErrorKind::HostBusy, RETRY_ELSEWHERE_DELAY));
         }
         collected.extend_from_slice(&data);
     }
--- a/crates/alderglade-serve/src/generate.rs
+++ b/crates/alderglade-serve/src/generate.rs
@@ -1,10 +1,10 @@
-//! Generations: places a prompt, sends it, and starts to pass its stream on.
+//! Serves generations: places a prompt, sends it to a backend server and starts to relay the stream.
 
 mod place;
-mod take;
+mod reservation;
 
 use crate::answer::Content;
-use crate::attempt::{self, Miss};
+use crate::attempt::{self, SendFailure};
 use crate::client::Exchange;
 use crate::clock;
 use crate::event::{self, Record};
@@ -27,64 +27,65 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// When a caller should come back if its stream could not be started.
-const COME_BACK: Duration = Duration::from_millis(300);
-/// Sends that are tried for one request where servers disclaim it or can't be reached, at most.
-const MOST_SENDS: u32 = 5;
-/// Servers at whose address nobody listens that are tried for one request beside those, at most. Each costs a way there and
-/// back, and where a third of many servers has crashed at once, five in a row are soon such.
-const MOST_CLOSED: u32 = 12;
-/// How long a first event may be late, beside a multiple of the time expected, before a stream that
-/// may be resumed is taken elsewhere; over the time that a dead server's work stands still.
-const LATE: Duration = Duration::from_millis(2_000);
-/// The multiple of the time expected.
-const LATE_FACTOR: u32 = 3;
-/// How long a prompt waits after memory could not be set aside for it; a few events' time.
-const NO_MEMORY_PAUSE: Duration = Duration::from_millis(120);
+/// Retry delay that a caller is given if its stream could not be started.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Maximum number of sends of one request whose servers disclaim it or are unreachable.
+const MAX_SENDS: u32 = 5;
+/// Maximum number of servers tried for one request that refuse the connection, in addition to [`MAX_SENDS`]. A
+/// refused connection costs one round trip. When a third of many servers has crashed at once, five refusals in a row
+/// are likely.
+const MAX_REFUSED_CONNECTIONS: u32 = 12;
+/// How late a first event may be, in addition to a multiple of the expected time, before a resumable stream moves to
+/// another server. Longer than the time that a failed server stalls its work.
+const FIRST_EVENT_SLACK: Duration = Duration::from_millis(2_000);
+/// Multiple of the expected time to the first event that a server is given.
+const FIRST_EVENT_FACTOR: u32 = 3;
+/// Delay before a prompt is placed again after memory could not be reserved for it: the time of a few events.
+const MEMORY_RETRY_DELAY: Duration = Duration::from_millis(120);
 
-/// A stream that has begun at a server.
-pub struct Open {
-    /// The answer as it comes.
+/// A stream that a server has begun to send.
+pub struct OpenStream {
+    /// The response, whose body is still to come.
     pub exchange: Exchange,
-    /// The server.
+    /// The server that sends the stream.
     pub server: Server,
-    /// The placement in the book.
-    pub held: ReservationGuard,
-    /// Memory that was set aside.
+    /// The placement in the load table.
+    pub reservation: ReservationGuard,
+    /// Memory reserved at several engines, if the prompt needs it.
     pub tickets: Option<Tickets>,
-    /// Who reads the prompt.
+    /// The engines that read the prompt.
     pub reading: Reading,
-    /// How long the stream may stay silent before it is taken elsewhere.
+    /// Longest silence before the stream moves to another server.
     pub silence: Duration,
 }
 
-/// A plan, and the leave to send the prompt by it.
-struct Choice {
+/// A plan and the permit to send the prompt according to it.
+struct PermittedPlan {
     plan: Plan,
     permit: Permit,
 }
 
-/// A generation for which all is taken up that its plan needs.
-struct Placed {
+/// A generation with all resources that its plan needs.
+struct Placement {
     /// The server that answers.
     server: Server,
-    /// The servers that read parts or hold memory.
+    /// The servers that read parts of the prompt or hold memory for it.
     helpers: Vec<Helper>,
-    /// The placement in the book.
-    held: ReservationGuard,
-    /// Memory that was set aside.
+    /// The placement in the load table.
+    reservation: ReservationGuard,
+    /// Memory reserved at several engines, if the prompt needs it.
     tickets: Option<Tickets>,
-    /// Who reads the prompt.
+    /// The engines that read the prompt.
     reading: Reading,
 }
 
-impl Placed {
-    /// Gives the stream that has begun. `silence` is how long it may stay silent.
-    fn open(self, exchange: Exchange, silence: Duration) -> Open {
-        Open {
+impl Placement {
+    /// Returns the open stream; `silence` is the longest silence that it is allowed.
+    fn open(self, exchange: Exchange, silence: Duration) -> OpenStream {
+        OpenStream {
             exchange,
             server: self.server,
-            held: self.held,
+            reservation: self.reservation,
             tickets: self.tickets,
             reading: self.reading,
             silence,
@@ -92,343 +93,358 @@
     }
 }
 
-/// What is kept over the tries of one generation.
+/// State that one generation keeps across its sends.
 #[derive(Default)]
-pub struct Tries {
-    /// Sends that reached a server, or may have.
+pub struct SendState {
+    /// Sends that count as attempts: they reached a server, or may have, and it did not disclaim them.
     pub sends: u32,
-    /// Sends that arrived at a server, or may have, whether it ran them or not; each beyond the first is a repeat.
+    /// Sends that arrived at a server, or may have, whether it ran them or not. Each one beyond the first is a retry.
     pub arrivals: u32,
-    /// Sends of any kind.
-    pub all: u32,
-    /// Sends among them for which nobody listened.
-    pub closed: u32,
-    /// Sets of memory that were asked for.
-    pub reserves: u32,
-    /// Servers that have failed the request.
+    /// All sends.
+    pub total: u32,
+    /// Sends for which the connection was refused.
+    pub refused_connections: u32,
+    /// Sets of memory that were requested.
+    pub memory_sets: u32,
+    /// Servers that failed the request; other servers are preferred.
     pub avoid: Vec<Key>,
-    /// Servers that read parts of it now, beside the one that answers.
+    /// Servers that currently read parts of the prompt, in addition to the one that answers.
     readers: Vec<Key>,
-    /// Servers that read it together when nothing came of it.
+    /// Servers of a group that read the prompt together without any result.
     pub stalled: Vec<Key>,
-    /// Why it has been held back so far, which is written once for each reason.
+    /// Reasons for which the prompt was held back so far; each one is logged once.
     pub held_for: Vec<Reason>,
 }
 
-impl Tries {
-    /// Says whether another send may be tried, where a route allows so many that arrive.
-    fn are_left(&self, most: u32) -> bool {
-        let others = self.all - self.closed;
-        self.sends < most && others < MOST_SENDS && self.closed < MOST_CLOSED
+impl SendState {
+    /// Returns whether another send may be tried. `max_attempts` is the limit that the route sets on sends that
+    /// arrive.
+    fn may_send(&self, max_attempts: u32) -> bool {
+        let other_sends = self.total - self.refused_connections;
+        self.sends < max_attempts
+            && other_sends < MAX_SENDS
+            && self.refused_connections < MAX_REFUSED_CONNECTIONS
     }
 }
 
-/// Serves a generation. `in_flight` goes with the stream.
+/// Serves a generation. `in_flight` is kept for as long as the stream.
 pub async fn serve(node: &Rc<Node>, job: Job, in_flight: InFlight) -> Response<Content> {
     node.record_first_send(&job.service);
-    let mut tries = Tries::default();
+    let mut state = SendState::default();
     let last_event = job.info.last_event.clone();
-    match open(node, &job, &mut tries, last_event).await {
+    match open(node, &job, &mut state, last_event).await {
         Err(refusal) => forward::refuse(node, &job.info.id, &refusal, job.arrived()),
-        Ok(opened) => relay::start(node, job, tries, opened, in_flight),
+        Ok(opened) => relay::start(node, job, state, opened, in_flight),
     }
 }
 
 /// Places and sends a generation until a server begins to answer it.
 ///
-/// Dropped before that, `tries` counts a send that may have reached a server.
+/// If the future is dropped before that, `state` counts a send that may have reached a server.
 ///
 /// # Errors
 ///
-/// Gives the refusal to be answered where no server does.
+/// Returns the refusal to answer with if no server begins.
 pub async fn open(
     node: &Rc<Node>,
     job: &Job,
-    tries: &mut Tries,
+    state: &mut SendState,
     last_event: Option<String>,
-) -> Result<Open, Refusal> {
+) -> Result<OpenStream, Refusal> {
     let mut life: Life<Waiting> = Life::new();
-    let mut found = None;
+    let mut next = None;
     loop {
         job.progress.set_stage(Stage::Waits);
-        let Choice { plan, permit } = match found.take() {
-            Some(choice) => choice,
-            None => next_choice(node, job, tries, &life).await?,
+        let PermittedPlan { plan, permit } = match next.take() {
+            Some(permitted) => permitted,
+            None => next_plan(node, job, state, &life).await?,
         };
-        let Some(mut placed) = take_up(node, job, &plan, tries).await else {
+        let Some(mut placed) = acquire_resources(node, job, &plan, state).await else {
             continue;
         };
-        // Memory that is set aside and a budget that is asked for take a while.
-        job.cleared(node, &life).await?;
-        tries.all += 1;
-        tries.readers.clone_from(&plan.helpers);
-        tell_placed(node, job, &placed.server, &plan, tries.all);
+        // Reserving memory and borrowing budget may have taken a while.
+        job.check_quarantine(node, &life).await?;
+        state.total += 1;
+        state.readers.clone_from(&plan.helpers);
+        log_placed(node, job, &placed.server, &plan, state.total);
         job.progress
             .set_stage(Stage::Sent(placed.server.id().clone()));
-        tries.sends += 1;
-        tries.arrivals += 1;
+        state.sends += 1;
+        state.arrivals += 1;
         let sent = life.send();
         let silence = silence(job, &plan);
-        let attempt = Attempt {
+        let options = SendOptions {
             permit,
             last_event: last_event.clone(),
             silence,
         };
-        life = match send(node, job, tries, &mut placed, attempt).await {
-            Sending::Answered(exchange) => {
-                placed.held.resume();
+        life = match send(node, job, state, &mut placed, options).await {
+            SendResult::Answered(exchange) => {
+                placed.reservation.resume();
                 return Ok(placed.open(exchange, silence));
             }
-            Sending::Missed(miss) => note_miss(node, job, tries, &placed.server, sent, miss),
-            Sending::Replaced(choice) => {
-                found = Some(choice);
+            SendResult::Failed(failure) => {
+                record_failure(node, job, state, &placed.server, sent, failure)
+            }
+            SendResult::Replaced(permitted) => {
+                next = Some(permitted);
                 sent.lost()
             }
         };
-        if found.is_none() {
-            tries.avoid.push(placed.server.key());
-            give_up(job, tries, &life)?;
+        if next.is_none() {
+            state.avoid.push(placed.server.key());
+            check_retry(job, state, &life)?;
         }
     }
 }
 
-/// Gives the plan of the next send, where the budget allows one more.
-async fn next_choice(
+/// Returns the plan of the next send, if the budget allows one more.
+async fn next_plan(
     node: &Rc<Node>,
     job: &Job,
-    tries: &mut Tries,
+    state: &mut SendState,
     life: &Life<Waiting>,
-) -> Result<Choice, Refusal> {
-    let choice = permitted(node, job, tries, life).await?;
-    if tries.arrivals > 0 && !node.spend_retry(&job.info.id, &job.service).await {
-        return Err(life.refuse(ErrorKind::Overloaded, COME_BACK));
+) -> Result<PermittedPlan, Refusal> {
+    let permitted = permitted_plan(node, job, state, life).await?;
+    if state.arrivals > 0 && !node.spend_retry(&job.info.id, &job.service).await {
+        return Err(life.refuse(ErrorKind::Overloaded, RETRY_DELAY));
     }
-    Ok(choice)
+    Ok(permitted)
 }
 
-/// Gives a plan by which the prompt may be sent.
-async fn permitted(
+/// Returns a plan whose engines all permit the send.
+async fn permitted_plan(
     node: &Rc<Node>,
     job: &Job,
-    tries: &mut Tries,
+    state: &mut SendState,
     life: &Life<Waiting>,
-) -> Result<Choice, Refusal> {
+) -> Result<PermittedPlan, Refusal> {
     loop {
-        let plan = place::place(node, job, tries, life).await?;
-        // An engine that takes nothing now isn't chosen the next time.
+        let plan = place::place(node, job, state, life).await?;
+        // The next plan leaves out an engine that accepts nothing now.
         if let Ok(permit) = node.permit_plan(&plan).await {
-            return Ok(Choice { plan, permit });
+            return Ok(PermittedPlan { plan, permit });
         }
     }
 }
 
-/// Takes up what a plan needs; gives `None` where its server is gone or the memory can't be set aside, and another
-/// plan must be made.
-async fn take_up(node: &Rc<Node>, job: &Job, plan: &Plan, tries: &mut Tries) -> Option<Placed> {
+/// Acquires the resources that a plan needs. Returns `None` if its server is gone or the memory cannot be reserved;
+/// another plan must then be made.
+async fn acquire_resources(
+    node: &Rc<Node>,
+    job: &Job,
+    plan: &Plan,
+    state: &mut SendState,
+) -> Option<Placement> {
     let Some(server) = node.server(plan.primary) else {
-        tries.avoid.push(plan.primary);
+        state.avoid.push(plan.primary);
         return None;
     };
-    let held = node.reserve(take::hold(job, plan));
-    let Ok(tickets) = set_aside(node, job, plan, tries).await else {
-        drop(held);
-        tokio::time::sleep(NO_MEMORY_PAUSE).await;
+    let reservation = node.reserve(reservation::of_plan(job, plan));
+    let Ok(tickets) = reserve_memory(node, job, plan, state).await else {
+        drop(reservation);
+        tokio::time::sleep(MEMORY_RETRY_DELAY).await;
         return None;
     };
-    Some(Placed {
-        helpers: take::helpers(node, plan, tickets.as_ref()),
+    Some(Placement {
+        helpers: reservation::helpers(node, plan, tickets.as_ref()),
         server,
-        held,
+        reservation,
         tickets,
         reading: Reading::begin(plan),
     })
 }
 
-/// Gives how long a server may stay silent before its first event: until that is too late, or its caller might leave
-/// before another server begins.
+/// Returns how long a server may stay silent before its first event: until the event is too late, or until its caller
+/// might leave before another server begins.
 fn silence(job: &Job, plan: &Plan) -> Duration {
-    let late = plan.first_event * LATE_FACTOR + LATE;
-    let patience = job.caller_timeout().saturating_sub(job.waited());
-    caller::silence_timeout(patience).min(late)
+    let late = plan.first_event * FIRST_EVENT_FACTOR + FIRST_EVENT_SLACK;
+    let caller_timeout = job.caller_timeout().saturating_sub(job.waited());
+    caller::silence_timeout(caller_timeout).min(late)
 }
 
-/// One send of a generation.
-struct Attempt {
-    /// The leave to send it.
+/// Parameters of one send of a generation.
+struct SendOptions {
+    /// The permit to send it.
     permit: Permit,
-    /// The last event that its caller already has.
+    /// The id of the last event that the caller already has.
     last_event: Option<String>,
-    /// How long the server may say nothing before another one is looked for.
+    /// Silence after which another server is looked for.
     silence: Duration,
 }
 
-/// What became of a send.
-enum Sending {
-    /// The head of an answer that counts has come.
+/// The result of a send.
+enum SendResult {
+    /// The head of a valid response arrived.
     Answered(Exchange),
-    /// There is no such answer.
-    Missed(Miss),
-    /// The server is silent, and another one can take the request by this plan.
-    Replaced(Choice),
+    /// There is no valid response.
+    Failed(SendFailure),
+    /// The server is silent, and another one can take the request with this plan.
+    Replaced(PermittedPlan),
 }
 
-/// Sends a generation to one server and waits for the head of an answer that counts. A server that says nothing for as long
-/// as it may is left where another one is found; else it has as long as the caller waits.
+/// Sends a generation to one server and waits for the head of a valid response. A server that exceeds its silence
+/// limit is abandoned if another one is found. Otherwise it has as long as the caller waits.
 async fn send(
     node: &Rc<Node>,
     job: &Job,
-    tries: &mut Tries,
-    placed: &mut Placed,
-    attempt: Attempt,
-) -> Sending {
-    let Attempt {
+    state: &mut SendState,
+    placed: &mut Placement,
+    options: SendOptions,
+) -> SendResult {
+    let SendOptions {
         permit,
         last_event,
         silence,
-    } = attempt;
+    } = options;
     let server = &placed.server;
-    let sends_left = tries.are_left(job.route.max_attempts);
-    let more = sends_left && job.route.kind.is_repeatable();
-    let number = tries.all;
+    let sends_left = state.may_send(job.route.max_attempts);
+    let may_replace = sends_left && job.route.kind.is_repeatable();
+    let attempt = state.total;
     let helpers = placed.helpers.clone();
-    let answer = attempt::send(node, job, server, permit, helpers, last_event, number);
-    let answer = async { judge(node, job, server, number, answer.await) };
+    let answer = attempt::send(node, job, server, permit, helpers, last_event, attempt);
+    let answer = async { check_response(node, job, server, attempt, answer.await) };
     tokio::select! {
-        // An answer that is there goes before any sign that there was none.
+        // A response that has arrived takes precedence over any sign of its absence.
         biased;
-        sending = answer => sending,
-        choice = find_other(node, job, tries, server, &mut placed.held, silence), if more => {
-            Sending::Replaced(choice)
+        result = answer => result,
+        permitted = find_replacement(
+            node, job, state, server, &mut placed.reservation, silence,
+        ), if may_replace => {
+            SendResult::Replaced(permitted)
+        }
+        () = attempt::wait_until_restarted(node, job, server, attempt) => {
+            SendResult::Failed(SendFailure::Lost)
         }
-        () = attempt::over(node, job, server, number) => Sending::Missed(Miss::Lost),
-        () = clock::patience(job.left()) => {
-            attempt::note_silent(node, job, server, number, attempt::NO_ANSWER);
-            Sending::Missed(Miss::Lost)
+        () = clock::sleep_and_yield(job.time_left()) => {
+            attempt::record_silence(node, job, server, attempt, attempt::NO_ANSWER_IN_TIME);
+            SendResult::Failed(SendFailure::Lost)
         }
     }
 }
 
-/// Finds another server for a generation whose server has said nothing for `silence`; waits on where there is none that
-/// can take it, as on a host that is about to end.
-async fn find_other(
+/// Finds another server for a generation whose server has sent nothing for `silence`. Keeps waiting while no server
+/// can take it, as on a host that is about to stop.
+async fn find_replacement(
     node: &Rc<Node>,
     job: &Job,
-    tries: &mut Tries,
-    silent: &Server,
-    held: &mut ReservationGuard,
+    state: &mut SendState,
+    silent_server: &Server,
+    reservation: &mut ReservationGuard,
     silence: Duration,
-) -> Choice {
-    clock::patience(silence).await;
-    note_standstill(node, job, tries, silent);
-    held.suspend();
+) -> PermittedPlan {
+    clock::sleep_and_yield(silence).await;
+    record_stall(node, job, state, silent_server);
+    reservation.suspend();
     let life = Life::new().send().lost();
     loop {
-        let plan = place::place(node, job, tries, &life).await;
-        let other = plan.ok().filter(|plan| plan.primary != silent.key());
+        let plan = place::place(node, job, state, &life).await;
+        let other = plan.ok().filter(|plan| plan.primary != silent_server.key());
         if let Some(plan) = other
             && let Ok(permit) = node.permit_plan(&plan).await
             && node.spend_retry(&job.info.id, &job.service).await
         {
-            return Choice { plan, permit };
+            return PermittedPlan { plan, permit };
         }
-        clock::sleep(attempt::LOOK_AGAIN).await;
+        clock::sleep(attempt::REPLACEMENT_RETRY_DELAY).await;
     }
 }
 
-/// Notes that nothing has come from a server. Where others read parts, any of them may be the one at fault: the server is not
-/// told of as silent, and the next engines are others, so that the same one doesn't hold the prompt up again.
-fn note_standstill(node: &Node, job: &Job, tries: &mut Tries, silent: &Server) {
-    if tries.readers.is_empty() {
-        attempt::note_silent(node, job, silent, tries.all, "silence");
+/// Records that a server sent nothing. If others read parts of the prompt, any of them may be at fault. In that case
+/// the server is not reported as silent, and the next plan uses different engines, so that the same one does not
+/// stall the prompt again.
+fn record_stall(node: &Node, job: &Job, state: &mut SendState, silent_server: &Server) {
+    if state.readers.is_empty() {
+        attempt::record_silence(node, job, silent_server, state.total, "silence");
     } else {
-        attempt::tell(job, silent, tries.all, "silence");
-        tries.stalled.push(silent.key());
-        tries.stalled.append(&mut tries.readers);
+        attempt::log_failure(job, silent_server, state.total, "silence");
+        state.stalled.push(silent_server.key());
+        state.stalled.append(&mut state.readers);
     }
-    tries.avoid.push(silent.key());
+    state.avoid.push(silent_server.key());
 }
 
-/// Says whether what a server has answered counts.
-fn judge(
+/// Returns whether a response is valid.
+fn check_response(
     node: &Node,
     job: &Job,
     server: &Server,
-    number: u32,
-    answer: Result<(Exchange, Reply), Miss>,
-) -> Sending {
+    attempt: u32,
+    answer: Result<(Exchange, Reply), SendFailure>,
+) -> SendResult {
     let (exchange, reply) = match answer {
         Ok(answer) => answer,
-        Err(miss) => return Sending::Missed(miss),
+        Err(failure) => return SendResult::Failed(failure),
     };
     let status = exchange.head.status;
     if status.is_success() && reply.genuine {
-        return Sending::Answered(exchange);
+        return SendResult::Answered(exchange);
     }
     node.record_outcome(server.key(), Outcome::Failed);
-    attempt::tell(job, server, number, status.as_str());
-    Sending::Missed(Miss::Lost)
+    attempt::log_failure(job, server, attempt, status.as_str());
+    SendResult::Failed(SendFailure::Lost)
 }
 
-/// Notes what became of a send without an answer; the request waits again.
-fn note_miss(
+/// Records a send without a valid response; the request waits again.
+fn record_failure(
     node: &Node,
     job: &Job,
-    tries: &mut Tries,
+    state: &mut SendState,
     server: &Server,
     sent: Life<Sent>,
-    miss: Miss,
+    failure: SendFailure,
 ) -> Life<Waiting> {
-    match miss {
-        Miss::NotSent | Miss::Closed => {
-            tries.closed += u32::from(matches!(miss, Miss::Closed));
-            tries.sends -= 1;
-            tries.arrivals -= 1;
-            if tries.arrivals > 0 {
+    match failure {
+        SendFailure::NotSent | SendFailure::Closed => {
+            state.refused_connections += u32::from(matches!(failure, SendFailure::Closed));
+            state.sends -= 1;
+            state.arrivals -= 1;
+            if state.arrivals > 0 {
                 node.refund_retry(&job.service);
             }
             sent.never_sent()
         }
-        Miss::Disclaimed(at_fault) => {
-            tries.sends -= 1;
+        SendFailure::Disclaimed(at_fault) => {
+            state.sends -= 1;
             let refusing =
                 at_fault.and_then(|address| node.record_refusing_server(address, server));
-            tries.avoid.extend(refusing);
+            state.avoid.extend(refusing);
             sent.disclaimed()
         }
-        Miss::Lost => sent.lost(),
+        SendFailure::Lost => sent.lost(),
     }
 }
 
-/// Memory could not be set aside.
+/// Memory could not be reserved.
 struct NoMemory;
 
-/// Sets the memory aside that no single engine has, where the plan says so.
-async fn set_aside(
+/// Reserves the memory that no single engine has, if the plan requires it.
+async fn reserve_memory(
     node: &Rc<Node>,
     job: &Job,
     plan: &Plan,
-    tries: &mut Tries,
+    state: &mut SendState,
 ) -> Result<Option<Tickets>, NoMemory> {
     if plan.shares.is_empty() {
         return Ok(None);
     }
-    // A name is used once: what a refused set gives back late must not end the next one.
-    tries.reserves += 1;
-    let name = format!("{}-{}", job.info.id, tries.reserves);
+    // Each set has its own name: a late release of a refused set must not end the next one.
+    state.memory_sets += 1;
+    let name = format!("{}-{}", job.info.id, state.memory_sets);
     match Tickets::take(node, &name, &plan.shares).await {
         Some(tickets) => Ok(Some(tickets)),
         None => Err(NoMemory),
     }
 }
 
-/// Says no where the request may not be sent again.
-fn give_up(job: &Job, tries: &Tries, life: &Life<Waiting>) -> Result<(), Refusal> {
-    if job.left().is_zero() {
-        return Err(life.refuse(ErrorKind::ExpiredWaiting, COME_BACK));
+/// Returns a refusal if the request may not be sent again.
+fn check_retry(job: &Job, state: &SendState, life: &Life<Waiting>) -> Result<(), Refusal> {
+    if job.time_left().is_zero() {
+        return Err(life.refuse(ErrorKind::ExpiredWaiting, RETRY_DELAY));
     }
-    let again = !life.may_have_run() || job.route.kind.is_repeatable();
-    let sends_left = tries.are_left(job.route.max_attempts);
-    if again && sends_left {
+    let may_repeat = !life.may_have_run() || job.route.kind.is_repeatable();
+    let sends_left = state.may_send(job.route.max_attempts);
+    if may_repeat && sends_left {
         return Ok(());
     }
     let kind = if life.may_have_run() {
@@ -436,10 +452,10 @@
     } else {
         ErrorKind::Overloaded
     };
-    Err(life.refuse(kind, COME_BACK))
+    Err(life.refuse(kind, RETRY_DELAY))
 }
 
-fn tell_placed(node: &Node, job: &Job, server: &Server, plan: &Plan, attempt: u32) {
+fn log_placed(node: &Node, job: &Job, server: &Server, plan: &Plan, attempt: u32) {
     let waited = job.waited();
     node.metrics.waited.observe(waited.as_secs_f64());
     event::write(&Record::Placed {
--- a/crates/alderglade-serve/src/generate/place.rs
+++ b/crates/alderglade-serve/src/generate/place.rs
@@ -1,6 +1,6 @@
-//! Waits until a prompt should be sent, and says to which engines.
+//! Waits until a prompt should be sent and decides to which engines.
 
-use super::{COME_BACK, Tries};
+use super::{RETRY_DELAY, SendState};
 use crate::clock;
 use crate::event::{self, Record};
 use crate::job::Job;
@@ -14,50 +14,50 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a stride of an answer's tokens takes, at most, where engines are busy.
-const STRIDE: Duration = Duration::from_millis(75);
-/// A host that stops hands prompts that still wait back to their callers when it has less time left
-/// than this, which is about what reading and answering a long prompt takes.
-const STOP_PATIENCE: Duration = Duration::from_millis(5_000);
+/// Time that an engine takes for one stride of output tokens, at most, when engines are busy.
+const MAX_STRIDE_TIME: Duration = Duration::from_millis(75);
+/// A stopping host returns prompts that still wait to their callers when it has less time left than this: about the
+/// time to read and answer a long prompt.
+const MIN_TIME_BEFORE_STOP: Duration = Duration::from_millis(5_000);
 
-/// Waits until the prompt should be sent, and gives the plan.
+/// Waits until the prompt should be sent and returns the plan.
 ///
 /// # Errors
 ///
-/// Gives the refusal where the prompt can't be answered in its time, or not before the host ends.
+/// Returns a refusal if the prompt cannot be answered in its time, or not before the host stops.
 pub(super) async fn place(
     node: &Rc<Node>,
     job: &Job,
-    tries: &mut Tries,
+    state: &mut SendState,
     life: &Life<Waiting>,
 ) -> Result<Plan, Refusal> {
     let mut queue = None;
     loop {
-        if job.left().is_zero() {
-            return Err(life.refuse(ErrorKind::ExpiredWaiting, COME_BACK));
+        if job.time_left().is_zero() {
+            return Err(life.refuse(ErrorKind::ExpiredWaiting, RETRY_DELAY));
         }
-        job.cleared(node, life).await?;
-        if tries.sends == 0 && !node.accepts_requests() {
-            return Err(life.refuse(ErrorKind::Draining, COME_BACK));
+        job.check_quarantine(node, life).await?;
+        if state.sends == 0 && !node.accepts_requests() {
+            return Err(life.refuse(ErrorKind::Draining, RETRY_DELAY));
         }
         if let Some(Unavailability { kind, after }) = node.unavailability(&job.service, &job.homes)
         {
             return Err(life.refuse(kind, after));
         }
         let ends_in = node.ends_in();
-        match decide(node, job, tries, &mut queue) {
+        match decide(node, job, state, &mut queue) {
             Decision::Send(plan)
                 if ends_in.is_some_and(|left| answer_time(node, job, &plan) > left) =>
             {
-                return Err(life.refuse(ErrorKind::Draining, COME_BACK));
+                return Err(life.refuse(ErrorKind::Draining, RETRY_DELAY));
             }
             Decision::Send(plan) => return Ok(plan),
-            Decision::Wait(_) if ends_in.is_some_and(|left| left < STOP_PATIENCE) => {
-                return Err(life.refuse(ErrorKind::Draining, COME_BACK));
+            Decision::Wait(_) if ends_in.is_some_and(|left| left < MIN_TIME_BEFORE_STOP) => {
+                return Err(life.refuse(ErrorKind::Draining, RETRY_DELAY));
             }
             Decision::Refuse(after) => return Err(life.refuse(ErrorKind::Overloaded, after)),
             Decision::Wait(wait) => {
-                tell_held(node, job, tries, wait.reason);
+                log_held(node, job, state, wait.reason);
                 if let Some(queue) = &mut queue {
                     queue.announce();
                 }
@@ -67,12 +67,12 @@
     }
 }
 
-/// Writes why a prompt is held, once for each reason.
-fn tell_held(node: &Node, job: &Job, tries: &mut Tries, reason: Reason) {
-    if tries.held_for.contains(&reason) {
+/// Logs why a prompt is held back, once for each reason.
+fn log_held(node: &Node, job: &Job, state: &mut SendState, reason: Reason) {
+    if state.held_for.contains(&reason) {
         return;
     }
-    tries.held_for.push(reason);
+    state.held_for.push(reason);
     let multi_engine_prompts = node.state.borrow().loads.multi_engine_prompts();
     event::write(&Record::Held {
         id: &job.info.id,
@@ -84,44 +84,49 @@
     });
 }
 
-/// Gives the time that an answer may well take from now to its end.
+/// Returns an upper estimate of the time from now to the end of the answer.
 fn answer_time(node: &Node, job: &Job, plan: &Plan) -> Duration {
-    /// Callers' estimates are right in the median; half as much again covers most answers. One that takes longer is
-    /// broken off at the end of the host's time, and its caller goes on elsewhere behind the last event; therefore this
-    /// estimate decides only on prompts that came while the host still took requests.
-    const LONGER: f64 = 1.5;
+    /// Factor on the output estimate. Callers' estimates are correct at the median; half as much again covers most
+    /// answers. A longer answer is broken off when the host stops, and its caller resumes elsewhere after the last
+    /// event. Therefore this estimate affects only prompts that arrived while the host still accepted requests.
+    const ESTIMATE_MARGIN: f64 = 1.5;
     let prompt = job.prompt();
     let max_output = match prompt.output_estimate {
-        Some(expected) if job.route.kind.is_repeatable() => {
-            prompt.max_output.min((expected as f64 * LONGER) as u64)
-        }
+        Some(expected) if job.route.kind.is_repeatable() => prompt
+            .max_output
+            .min((expected as f64 * ESTIMATE_MARGIN) as u64),
         _ => prompt.max_output,
     };
     let stride = profile(node, job).map_or(1, |profile| u64::from(profile.stride.max(1)));
     let strides = max_output / stride + 1;
-    plan.first_event + STRIDE * u32::try_from(strides).unwrap_or(u32::MAX)
+    plan.first_event + MAX_STRIDE_TIME * u32::try_from(strides).unwrap_or(u32::MAX)
 }
 
-/// Gives the timing of the engines that serve a job, if its service states it.
+/// Returns the timing profile of the engines that serve a job, if its service states one.
 fn profile(node: &Node, job: &Job) -> Option<EngineProfile> {
     let config = node.state.borrow().config.clone()?;
     config.service(&job.service)?.engine
 }
 
-/// Gives the decision on a prompt as things stand now. A long one takes its place in `queue`.
-fn decide(node: &Rc<Node>, job: &Job, tries: &Tries, queue: &mut Option<QueueGuard>) -> Decision {
+/// Decides on a prompt from the current state. A long prompt is added to the wait queue through `queue`.
+fn decide(
+    node: &Rc<Node>,
+    job: &Job,
+    state: &SendState,
+    queue: &mut Option<QueueGuard>,
+) -> Decision {
     let Some(profile) = profile(node, job) else {
-        return without_figures(node, job, tries);
+        return decide_without_profile(node, job, state);
     };
-    let work = work(job, tries, profile.stride);
+    let work = work(job, state, profile.stride);
     let engines = node.engines(&job.service, profile, &job.homes);
     let demand = placement::demand(&work, &profile, engines.len());
-    let before = demand.map_or(0, |demand| {
-        let place = queue.get_or_insert_with(|| node.enqueue(demand));
-        place.update(demand)
+    let queued_before = demand.map_or(0, |demand| {
+        let queued = queue.get_or_insert_with(|| node.enqueue(demand));
+        queued.update(demand)
     });
     let shared = ServiceState {
-        queued_before: before,
+        queued_before,
         multi_engine_prompts: node.state.borrow().loads.multi_engine_prompts(),
         pressure: node.pressure(placement::pressure(&engines)),
         engines: engines.len(),
@@ -129,10 +134,10 @@
     placement::choose(&work, &engines, &shared)
 }
 
-/// Places a stream of a service that states no figures for its engines: least own calls first.
-fn without_figures(node: &Node, job: &Job, tries: &Tries) -> Decision {
-    match node.pick_server(&job.service, &job.homes, &tries.avoid) {
-        None => Decision::Refuse(COME_BACK),
+/// Places a stream of a service that states no engine profile: on the server with the fewest calls of this host.
+fn decide_without_profile(node: &Node, job: &Job, state: &SendState) -> Decision {
+    match node.pick_server(&job.service, &job.homes, &state.avoid) {
+        None => Decision::Refuse(RETRY_DELAY),
         Some(server) => Decision::Send(Plan {
             primary: server.key(),
             helpers: Vec::new(),
@@ -144,22 +149,24 @@
     }
 }
 
-/// Gives what placement must know of a prompt.
-fn work(job: &Job, tries: &Tries, stride: u32) -> Work {
+/// Returns the properties of a prompt that placement needs.
+fn work(job: &Job, state: &SendState, stride: u32) -> Work {
     let prompt = job.prompt();
-    let likely = prompt.expected_output_tokens();
-    let out = likely.max(u64::from(stride)).min(prompt.max_output.max(1));
+    let expected_output = prompt.expected_output_tokens();
+    let output = expected_output
+        .max(u64::from(stride))
+        .min(prompt.max_output.max(1));
     Work {
         prompt: prompt.tokens,
-        memory: prompt.tokens + out,
+        memory: prompt.tokens + output,
         objective: job.route.objective,
         caller_timeout: job.caller_timeout(),
         waited: job.waited(),
-        time_left: job.left(),
+        time_left: job.time_left(),
         is_retry: job.is_retry(),
         worth: placement::worth(prompt.tokens),
-        avoid: tries.avoid.clone(),
-        stalled: tries.stalled.clone(),
+        avoid: state.avoid.clone(),
+        stalled: state.stalled.clone(),
         random: Some(rand::rng().random()),
     }
 }
--- a/crates/alderglade-serve/src/job.rs
+++ b/crates/alderglade-serve/src/job.rs
@@ -1,4 +1,4 @@
-//! A request that was let in: what its caller wants, and how long it waits.
+//! An admitted request: what its caller wants and how long it waits.
 
 use crate::clock;
 use crate::memory::Portion;
@@ -19,52 +19,52 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a prompt counts as whose caller says nothing of it: an ordinary short one.
-const ORDINARY: Prompt = Prompt {
+/// Prompt assumed if the caller describes none: an ordinary short one.
+const DEFAULT_PROMPT: Prompt = Prompt {
     tokens: 5_000,
     max_output: 1_000,
     output_estimate: None,
 };
 
-/// A request that was read whole and let in.
+/// A request that was read completely and admitted.
 pub struct Job {
-    /// What its caller says.
+    /// What the caller states in the request head.
     pub info: RequestInfo,
-    /// The method.
+    /// The request method.
     pub method: Method,
     /// Path and query.
     pub target: Uri,
-    /// The headers as they came.
+    /// The headers as the caller sent them.
     pub headers: HeaderMap,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
-    /// The memory that it takes.
-    pub kept: Portion,
-    /// What was asked, which stays the same when the caller comes back.
+    /// The memory that the body occupies.
+    pub memory: Portion,
+    /// The digest of the request, which is the same for each retry by the caller.
     pub fingerprint: Fingerprint,
-    /// Its route.
+    /// The route that the request takes.
     pub route: Route,
-    /// The service that it goes to.
+    /// The service that the request is sent to.
     pub service: Name,
-    /// The workspace that it is served for.
+    /// The workspace that the request is served for, if any.
     pub workspace: Option<Name>,
-    /// Where it may run.
+    /// The regions that the request may run in.
     pub homes: Homes,
-    /// The version of the configuration that let it in.
+    /// The version of the configuration that admitted the request.
     pub config: u64,
-    /// How far it has come.
+    /// The progress of the request, as other parts of the host observe it.
     pub progress: Rc<Progress>,
-    /// When it must be over.
-    pub ends: Time,
+    /// When the request must be answered.
+    pub deadline: Time,
 }
 
 impl Job {
-    /// Waits until nothing is about to be judged of the request, and refuses it where it is barred from servers.
+    /// Waits for a pending quarantine verdict on the request and refuses the request if it is quarantined.
     ///
     /// # Errors
     ///
-    /// Where it is barred.
-    pub async fn cleared(&self, node: &Node, life: &Life<Waiting>) -> Result<(), Refusal> {
+    /// Returns a refusal if the request is quarantined.
+    pub async fn check_quarantine(&self, node: &Node, life: &Life<Waiting>) -> Result<(), Refusal> {
         node.wait_for_verdict(self.fingerprint).await;
         match node.barred_for(self.fingerprint) {
             Some(left) => Err(life.refuse(ErrorKind::Quarantined, left)),
@@ -72,22 +72,22 @@
         }
     }
 
-    /// Gives the time that is left.
-    pub fn left(&self) -> Duration {
-        self.ends.left(clock::now())
+    /// Returns the remaining time; zero after the deadline.
+    pub fn time_left(&self) -> Duration {
+        self.deadline.left(clock::now())
     }
 
-    /// Gives when its head came.
+    /// Returns when the request's head arrived.
     pub fn arrived(&self) -> Time {
         self.progress.arrived
     }
 
-    /// Gives the time since it came.
+    /// Returns the time since the request's head arrived.
     pub fn waited(&self) -> Duration {
         clock::now().since(self.arrived())
     }
 
-    /// Gives how long its caller waits for the first or the next event.
+    /// Returns how long the caller waits for the first or the next event.
     pub fn caller_timeout(&self) -> Duration {
         let longest_pause = self.route.kind.longest_pause();
         caller::response_timeout(
@@ -96,21 +96,22 @@
         )
     }
 
-    /// Says whether its caller has probably asked before: it waits for less time than the route allows.
+    /// Returns whether this is probably a retry by the caller: it allows less time than the route does.
     pub fn is_retry(&self) -> bool {
-        /// How much less counts. Callers whose time is as long as their route's say so to the millisecond.
-        const SURE: Duration = Duration::from_millis(100);
+        /// Smallest difference that counts. Callers whose time equals that of their route state it to the
+        /// millisecond.
+        const MIN_DIFFERENCE: Duration = Duration::from_millis(100);
         let limit = self.info.time_limit;
-        limit.is_some_and(|limit| limit + SURE < self.route.time_limit)
+        limit.is_some_and(|limit| limit + MIN_DIFFERENCE < self.route.time_limit)
     }
 
-    /// Gives what the caller says of the prompt; one that says nothing counts as an ordinary short one.
+    /// Returns the caller's description of the prompt, or an ordinary short prompt if there is none.
     pub fn prompt(&self) -> Prompt {
-        self.info.prompt.unwrap_or(ORDINARY)
+        self.info.prompt.unwrap_or(DEFAULT_PROMPT)
     }
 
-    /// Gives the pauses that its answer bears.
-    pub fn pauses(&self) -> PauseClass {
+    /// Returns the class of pauses that the response tolerates.
+    pub fn pause_class(&self) -> PauseClass {
         let longest_pause = self.route.kind.longest_pause();
         longest_pause.map_or(PauseClass::Long, PauseClass::of)
     }
--- a/crates/alderglade-serve/src/metrics.rs
+++ b/crates/alderglade-serve/src/metrics.rs
@@ -16,9 +16,9 @@
     /// Answers by status class or error kind.
     pub answers: IntCounterVec,
     /// Requests that were answered within their route's aim, and those that were not.
-    pub aims: IntCounterVec,
+    pub objectives: IntCounterVec,
     /// Time to the first event or whole answer.
-    pub first: Histogram,
+    pub first_event: Histogram,
     /// Time that prompts wait at the host before they are sent.
     pub waited: Histogram,
     /// Sends beyond the first of a request.
@@ -79,12 +79,12 @@
         let registry = Registry::new();
         let metrics = Metrics {
             answers: counters("alderglade_answers_total", "Answers by outcome.", "outcome")?,
-            aims: counters(
+            objectives: counters(
                 "alderglade_objective_total",
                 "Answers by whether they met the latency objective.",
                 "met",
             )?,
-            first: histogram(
+            first_event: histogram(
                 "alderglade_first_event_seconds",
                 "Time to the first event or whole answer.",
             )?,
@@ -172,8 +172,8 @@
     fn register(&self) -> Result<(), prometheus::Error> {
         let all: [Box<dyn prometheus::core::Collector>; 27] = [
             Box::new(self.answers.clone()),
-            Box::new(self.aims.clone()),
-            Box::new(self.first.clone()),
+            Box::new(self.objectives.clone()),
+            Box::new(self.first_event.clone()),
             Box::new(self.waited.clone()),
             Box::new(self.repeats.clone()),
             Box::new(self.repeats_refused.clone()),
--- a/crates/alderglade-serve/src/order.rs
+++ b/crates/alderglade-serve/src/order.rs
@@ -1,4 +1,4 @@
-//! Calls to engines beside the requests that they serve: memory set aside, and questions.
+//! Calls to engines apart from the requests that they serve: memory reservations and status reports.
 
 use crate::clock;
 use crate::node::Node;
@@ -10,22 +10,22 @@
 use snafu::{ResultExt, Snafu};
 use std::time::Duration;
 
-/// How long a call may take. Engines answer at once; the rest is the way.
-const LIMIT: Duration = Duration::from_millis(800);
+/// Timeout of a call. Engines respond immediately; the rest is network latency.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Why a call gave no answer.
+/// Why a call has no response.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The path or the address can't be written.
+    /// The path or the address is not valid in a request.
     #[snafu(display("the call can't be made: {source}"))]
     Unwritable {
         /// The cause.
         source: http::Error,
     },
-    /// No answer came in time.
-    #[snafu(display("no answer in {} ms", LIMIT.as_millis()))]
+    /// No response arrived in time.
+    #[snafu(display("no answer in {} ms", CALL_TIMEOUT.as_millis()))]
     Silent,
-    /// No connection, or it broke.
+    /// There was no connection, or it broke.
     #[snafu(display("{source}"))]
     Contact {
         /// The cause.
@@ -33,11 +33,12 @@
     },
 }
 
-/// Makes a call to a server and gives the answer as a whole. What the server says of itself in its head is taken.
+/// Sends a call to a server and returns the whole response. Applies the statement that the server makes about itself
+/// in the head.
 ///
 /// # Errors
 ///
-/// Where no answer comes.
+/// Returns an error if no response arrives.
 pub async fn call(node: &Node, server: &Server, order: Order) -> Result<Response<Bytes>, Error> {
     let request = Request::builder()
         .method(order.method)
@@ -50,12 +51,12 @@
         let exchange = node.client.send(server.address, request, false).await?;
         exchange.collect().await
     };
-    let sent = clock::now();
-    let Ok(answer) = clock::timeout(LIMIT, exchange).await else {
+    let sent_at = clock::now();
+    let Ok(answer) = clock::timeout(CALL_TIMEOUT, exchange).await else {
         return SilentSnafu.fail();
     };
     let answer = answer.context(ContactSnafu)?;
     let statement = node.translator.statement(answer.status(), answer.headers());
-    node.apply_statement(server, &statement, sent);
+    node.apply_statement(server, &statement, sent_at);
     Ok(answer)
 }
--- a/crates/alderglade-serve/src/relay.rs
+++ b/crates/alderglade-serve/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a stream on, event by event, and takes it up elsewhere when its server fails.
+//! Relays a stream to its caller event by event, and continues it on another server when its server fails.
 
 mod end;
 mod part;
@@ -8,7 +8,7 @@
 use crate::attempt;
 use crate::body_sender::{BodySender, CallerGone};
 use crate::clock;
-use crate::generate::{Open, Tries};
+use crate::generate::{OpenStream, SendState};
 use crate::job::Job;
 use crate::node::{InFlight, Node, Stage};
 use crate::slowdown;
@@ -20,48 +20,48 @@
 use bytes::Bytes;
 use end::End;
 use http::Response;
-use part::{Frame, Part};
+use part::{Frame, ServerPart};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The longest event that is kept until it is whole, in bytes; those of the deployments have some hundred.
-const LONGEST_EVENT: usize = 1024 * 1024;
-/// How long a stream that runs may stay silent before it is taken elsewhere, where its caller waits for much longer:
-/// a dead server's work stands still for one and a half seconds.
-const SILENCE: Duration = Duration::from_millis(1_900);
+/// Longest event that is buffered until it is complete, in bytes; events of the deployments have a few hundred.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
+/// Longest silence of a running stream before it moves to another server, if its caller waits for much longer: a
+/// failed server stalls its work for one and a half seconds.
+const MAX_SILENCE: Duration = Duration::from_millis(1_900);
 
-/// A stream on its way to its caller.
+/// A stream that is being relayed to its caller.
 struct Relay {
     node: Rc<Node>,
     job: Job,
-    tries: Tries,
+    state: SendState,
     body_sender: BodySender,
-    /// The id of the last event that was passed on.
+    /// The id of the last event that was relayed.
     last_event: Option<String>,
-    /// When the first event left.
-    first_at: Option<Time>,
-    /// When the last event left.
-    last_at: Option<Time>,
+    /// When the first event was relayed.
+    first_event_at: Option<Time>,
+    /// When the last event was relayed.
+    last_event_at: Option<Time>,
     longest_pause: Duration,
     _in_flight: InFlight,
 }
 
-/// Why a server's part of a stream doesn't go on.
-enum Break {
-    /// The server has been silent for as long as it may, and may still go on.
+/// Why a server's part of a stream does not continue.
+enum Interruption {
+    /// The server exceeded its silence limit, and may still continue.
     Silent,
     /// The server failed.
     Failed(String),
-    /// The stream is over.
+    /// The stream has ended.
     End(End),
 }
 
-/// Starts passing a stream on and gives the head of the answer.
+/// Starts to relay a stream and returns the head of the response.
 pub fn start(
     node: &Rc<Node>,
     job: Job,
-    tries: Tries,
-    open: Open,
+    state: SendState,
+    open: OpenStream,
     in_flight: InFlight,
 ) -> Response<Content> {
     let (body_sender, receiver) = BodySender::open(&node.memory);
@@ -73,10 +73,10 @@
         node: node.clone(),
         last_event: job.info.last_event.clone(),
         job,
-        tries,
+        state,
         body_sender,
-        first_at: None,
-        last_at: None,
+        first_event_at: None,
+        last_event_at: None,
         longest_pause: Duration::ZERO,
         _in_flight: in_flight,
     };
@@ -85,46 +85,52 @@
 }
 
 impl Relay {
-    /// Passes the stream on until it ends, or the host is about to.
-    async fn run(mut self, open: Open) {
+    /// Relays the stream until it ends or the host is about to stop.
+    async fn run(mut self, open: OpenStream) {
         let node = self.node.clone();
         let end = tokio::select! {
             biased;
-            end = self.pass_on(open) => end,
-            () = node.wait_for_request_end() => End::HostStops,
+            end = self.relay_stream(open) => end,
+            () = node.wait_for_request_end() => End::HostStopping,
         };
         match end {
-            End::Whole => self.tell_answered(),
-            End::CallerLeft => self.tell_caller_left(),
+            End::Complete => self.log_answered(),
+            End::CallerLeft => self.log_caller_left(),
             End::Expired => self.break_off("the time is over"),
-            End::HostStops => self.break_off("the host stops"),
+            End::HostStopping => self.break_off("the host stops"),
             End::Failed(problem) => self.break_off(&problem),
         }
     }
 
-    /// Passes the stream on to its end, and has other servers go on with it where the route allows it.
-    async fn pass_on(&mut self, open: Open) -> End {
+    /// Relays the stream to its end, and continues it on other servers if the route allows that.
+    async fn relay_stream(&mut self, open: OpenStream) -> End {
         let mut part = self.begin(open);
         loop {
-            match self.pass_on_events(&mut part).await {
+            match self.relay_events(&mut part).await {
                 Ok(()) => {
                     self.node.record_outcome(part.server.key(), Outcome::Sound);
                     self.node.record_success(self.job.fingerprint);
                     part.connection.recycle();
-                    return End::Whole;
+                    return End::Complete;
                 }
-                Err(Break::Silent) => match self.take_over(&mut part).await {
+                Err(Interruption::Silent) => match self.find_replacement(&mut part).await {
                     Ok(None) => {
-                        part.held.resume();
-                        self.note_stage(&part);
+                        part.reservation.resume();
+                        self.record_stage(&part);
                     }
                     Ok(Some(open)) => part = self.begin(open),
                     Err(end) => return end,
                 },
-                Err(Break::Failed(problem)) => {
-                    self.note_failed(&part, &problem);
-                    attempt::broken_off(&self.node, &self.job, &part.server, part.began).await;
-                    // What was taken up at the server is given back before another one is looked for.
+                Err(Interruption::Failed(problem)) => {
+                    self.record_failure(&part, &problem);
+                    attempt::handle_broken_off(
+                        &self.node,
+                        &self.job,
+                        &part.server,
+                        part.first_event_at,
+                    )
+                    .await;
+                    // The resources at this server are released before another one is looked for.
                     drop(part);
                     if !self.may_resume() {
                         return End::Failed(problem);
@@ -134,29 +140,29 @@
                         Err(end) => return end,
                     };
                 }
-                Err(Break::End(end)) => return end,
+                Err(Interruption::End(end)) => return end,
             }
         }
     }
 
-    /// Begins with the part of a server.
-    fn begin(&self, open: Open) -> Part {
-        let part = Part::new(open);
-        self.note_stage(&part);
+    /// Begins with a server's part of the stream.
+    fn begin(&self, open: OpenStream) -> ServerPart {
+        let part = ServerPart::new(open);
+        self.record_stage(&part);
         part
     }
 
-    /// Notes that a server's part is what is passed on.
-    fn note_stage(&self, part: &Part) {
+    /// Records in the request's progress that this server's part is being relayed.
+    fn record_stage(&self, part: &ServerPart) {
         let stage = Stage::PassesOn(part.server.id().clone());
         self.job.progress.set_stage(stage);
     }
 
-    /// Notes that a server has failed the stream.
-    fn note_failed(&mut self, part: &Part, problem: &str) {
-        attempt::tell(&self.job, &part.server, self.tries.all, problem);
+    /// Records and logs that a server failed the stream.
+    fn record_failure(&mut self, part: &ServerPart, problem: &str) {
+        attempt::log_failure(&self.job, &part.server, self.state.total, problem);
         self.node.record_outcome(part.server.key(), Outcome::Failed);
-        self.tries.avoid.push(part.server.key());
+        self.state.avoid.push(part.server.key());
     }
 
     fn may_resume(&self) -> bool {
@@ -167,53 +173,58 @@
                 ..
             }
         );
-        resumable && self.tries.sends < self.job.route.max_attempts
+        resumable && self.state.sends < self.job.route.max_attempts
     }
 
-    /// Passes on each event as it becomes whole, and what follows the last one.
-    async fn pass_on_events(&mut self, part: &mut Part) -> Result<(), Break> {
-        while let Some(data) = self.next_with_room(part).await? {
-            let ready = self.take_events(&mut part.splitter, &data);
-            if part.splitter.rest().len() > LONGEST_EVENT {
-                return Err(Break::Failed("an event is too long".to_string()));
+    /// Relays each event as soon as it is complete, and the bytes after the last one.
+    async fn relay_events(&mut self, part: &mut ServerPart) -> Result<(), Interruption> {
+        while let Some(data) = self.next_when_writable(part).await? {
+            let complete = self.complete_events(&mut part.splitter, &data);
+            if part.splitter.rest().len() > MAX_EVENT_BYTES {
+                return Err(Interruption::Failed("an event is too long".to_string()));
             }
-            if ready.is_empty() {
+            if complete.is_empty() {
                 continue;
             }
-            self.note_events(part);
-            self.hand_on(ready).await?;
+            self.record_events(part);
+            self.send(complete).await?;
         }
         let rest = part.splitter.rest().to_vec();
         if rest.is_empty() {
             return Ok(());
         }
-        self.hand_on(rest).await
+        self.send(rest).await
     }
 
-    /// Gives bytes to the caller, for as long as the request has.
-    async fn hand_on(&self, bytes: Vec<u8>) -> Result<(), Break> {
+    /// Sends bytes to the caller, until the deadline of the request.
+    async fn send(&self, bytes: Vec<u8>) -> Result<(), Interruption> {
         tokio::select! {
             biased;
-            sent = self.body_sender.hand_on(bytes.into()) => {
-                sent.map_err(|CallerGone| Break::End(End::CallerLeft))
+            result = self.body_sender.send(bytes.into()) => {
+                result.map_err(|CallerGone| Interruption::End(End::CallerLeft))
             }
-            () = clock::sleep_until(self.job.ends) => Err(Break::End(End::Expired)),
+            () = clock::sleep_until(self.job.deadline) => Err(Interruption::End(End::Expired)),
         }
     }
 
-    /// Waits for the next bytes of a server, as soon as the caller can be given some.
-    async fn next_with_room(&self, part: &mut Part) -> Result<Option<Bytes>, Break> {
+    /// Waits until the caller can accept more, then for the next bytes of a server.
+    async fn next_when_writable(
+        &self,
+        part: &mut ServerPart,
+    ) -> Result<Option<Bytes>, Interruption> {
         tokio::select! {
             biased;
-            () = self.body_sender.room() => {}
-            () = clock::sleep_until(self.job.ends) => return Err(Break::End(End::Expired)),
+            () = self.body_sender.writable() => {}
+            () = clock::sleep_until(self.job.deadline) => {
+                return Err(Interruption::End(End::Expired));
+            }
         }
         self.next(part).await
     }
 
-    /// Waits for the next bytes of a server; gives `None` after the last ones. Silence counts only where the stream may
-    /// be resumed elsewhere.
-    async fn next(&self, part: &mut Part) -> Result<Option<Bytes>, Break> {
+    /// Waits for the next bytes of a server; returns `None` after the last ones. The silence limit applies only if
+    /// the stream may be resumed elsewhere.
+    async fn next(&self, part: &mut ServerPart) -> Result<Option<Bytes>, Interruption> {
         loop {
             let frame = match part.pending.take() {
                 Some(frame) => frame,
@@ -221,7 +232,7 @@
             };
             let frame = match frame {
                 None => return Ok(None),
-                Some(Err(error)) => return Err(Break::Failed(error.to_string())),
+                Some(Err(error)) => return Err(Interruption::Failed(error.to_string())),
                 Some(Ok(frame)) => frame,
             };
             if let Ok(data) = frame.into_data() {
@@ -231,61 +242,61 @@
     }
 
     /// Waits for the next frame of a server.
-    async fn next_frame(&self, part: &mut Part) -> Result<Frame, Break> {
-        let ends = self.job.ends;
+    async fn next_frame(&self, part: &mut ServerPart) -> Result<Frame, Interruption> {
+        let deadline = self.job.deadline;
         let (silence, may_resume) = (part.silence, self.may_resume());
         tokio::select! {
-            // What is there goes before any sign that there was nothing.
+            // Data that has arrived takes precedence over any sign of its absence.
             biased;
-            frame = part.live_frame(&self.node) => frame.ok_or_else(|| {
-                Break::Failed(attempt::STARTED_AGAIN.to_string())
+            frame = part.next_unless_restarted(&self.node) => frame.ok_or_else(|| {
+                Interruption::Failed(attempt::RESTARTED.to_string())
             }),
-            () = clock::patience(silence), if may_resume => Err(Break::Silent),
-            () = self.body_sender.closed() => Err(Break::End(End::CallerLeft)),
-            () = clock::sleep_until(ends) => Err(Break::End(End::Expired)),
+            () = clock::sleep_and_yield(silence), if may_resume => Err(Interruption::Silent),
+            () = self.body_sender.closed() => Err(Interruption::End(End::CallerLeft)),
+            () = clock::sleep_until(deadline) => Err(Interruption::End(End::Expired)),
         }
     }
 
-    /// Gives the events that these bytes make whole, and keeps the id of the last one for a server that
-    /// may have to go on after it.
-    fn take_events(&mut self, splitter: &mut Splitter, data: &Bytes) -> Vec<u8> {
-        let mut ready = Vec::new();
+    /// Returns the events that these bytes complete, and stores the id of the last one for a server that may have to
+    /// continue after it.
+    fn complete_events(&mut self, splitter: &mut Splitter, data: &Bytes) -> Vec<u8> {
+        let mut complete = Vec::new();
         for event in splitter.push(data) {
             if event.id.is_some() {
                 self.last_event = event.id;
             }
-            ready.extend_from_slice(&event.bytes);
+            complete.extend_from_slice(&event.bytes);
         }
-        ready
+        complete
     }
 
-    /// Notes that events of a server leave: the first ones show that the prompt has been read, later ones how long
-    /// the server pauses.
-    fn note_events(&mut self, part: &mut Part) {
-        if let Some(pause) = self.note_pause() {
-            self.suspect(part, pause);
+    /// Records that events of a server were relayed. The first events show that the prompt has been read; later ones
+    /// show how long the server pauses.
+    fn record_events(&mut self, part: &mut ServerPart) {
+        if let Some(pause) = self.record_pause() {
+            self.check_slowness(part, pause);
         }
-        if part.began.is_none() {
-            part.began = Some(clock::now());
-            part.silence = SILENCE.min(caller::silence_timeout(self.job.caller_timeout()));
-            part.held.mark_read();
+        if part.first_event_at.is_none() {
+            part.first_event_at = Some(clock::now());
+            part.silence = MAX_SILENCE.min(caller::silence_timeout(self.job.caller_timeout()));
+            part.reservation.mark_read();
             part.reading.end(&self.node);
         }
     }
 
-    /// Notes when events leave, for what is told of the stream at its end. Gives the pause before these, where they
-    /// aren't the first.
-    fn note_pause(&mut self) -> Option<Duration> {
+    /// Records when events are relayed, for the log line at the end of the stream. Returns the pause before these
+    /// events, unless they are the first.
+    fn record_pause(&mut self) -> Option<Duration> {
         let now = clock::now();
-        self.first_at.get_or_insert(now);
-        let last = self.last_at.replace(now)?;
+        self.first_event_at.get_or_insert(now);
+        let last = self.last_event_at.replace(now)?;
         let pause = now.since(last);
         self.longest_pause = self.longest_pause.max(pause);
         Some(pause)
     }
 
-    /// Has the engine looked at where its pauses are those of a slow one.
-    fn suspect(&self, part: &mut Part, pause: Duration) {
+    /// Starts a check of the engine if its pauses are those of a slow one.
+    fn check_slowness(&self, part: &mut ServerPart, pause: Duration) {
         let server = part.server.key();
         let Some(idle_pass) = self.node.state.borrow().loads.idle_pass(server) else {
             return;
--- a/crates/alderglade-serve/src/relay/end.rs
+++ b/crates/alderglade-serve/src/relay/end.rs
@@ -1,4 +1,4 @@
-//! How streams end, and what callers and operators are told of it.
+//! Ends of streams: what callers receive and what is logged.
 
 use super::Relay;
 use crate::clock;
@@ -6,26 +6,26 @@
 
 /// How a stream ended.
 pub(super) enum End {
-    /// All of it was passed on.
-    Whole,
-    /// Its server failed, and no other one could go on.
+    /// The whole stream was relayed.
+    Complete,
+    /// Its server failed, and no other one could continue.
     Failed(String),
-    /// The request's time is over.
+    /// The request's deadline has passed.
     Expired,
-    /// The host's time to stop is over.
-    HostStops,
-    /// The caller has left.
+    /// The host is about to end.
+    HostStopping,
+    /// The caller disconnected.
     CallerLeft,
 }
 
 impl Relay {
-    /// Writes that the caller has left.
-    pub(super) fn tell_caller_left(&self) {
+    /// Logs that the caller disconnected.
+    pub(super) fn log_caller_left(&self) {
         let id = &self.job.info.id;
         event::write(&Record::CallerLeft { id });
     }
 
-    /// Breaks the answer off, which shows the caller that it isn't whole.
+    /// Breaks the response off without its end marker, so that the caller notices that it is incomplete.
     pub(super) fn break_off(&mut self, problem: &str) {
         event::write(&Record::BrokenOff {
             id: &self.job.info.id,
@@ -36,21 +36,24 @@
         let answers = &self.node.metrics.answers;
         answers.with_label_values(&["broken_off"]).inc();
         if !self.body_sender.break_off() {
-            log::debug!("the caller of {} left as it was told", self.job.info.id);
+            log::debug!(
+                "the caller of {} disconnected before its response was broken off",
+                self.job.info.id
+            );
         }
     }
 
-    /// Writes that the stream was passed on as a whole, and whether it was in time.
-    pub(super) fn tell_answered(&self) {
-        let first = self.first_at.unwrap_or_else(clock::now);
+    /// Logs that the whole stream was relayed, and whether it met its latency objective.
+    pub(super) fn log_answered(&self) {
+        let first = self.first_event_at.unwrap_or_else(clock::now);
         let first = first.since(self.job.arrived());
-        let bears = self.job.route.kind.longest_pause();
-        let steady = bears.is_none_or(|bears| self.longest_pause <= bears);
-        let in_time = first <= self.job.route.objective && steady;
+        let max_pause = self.job.route.kind.longest_pause();
+        let pauses_in_time = max_pause.is_none_or(|max_pause| self.longest_pause <= max_pause);
+        let in_time = first <= self.job.route.objective && pauses_in_time;
         let met = if in_time { "yes" } else { "no" };
         let metrics = &self.node.metrics;
-        metrics.aims.with_label_values(&[met]).inc();
-        metrics.first.observe(first.as_secs_f64());
+        metrics.objectives.with_label_values(&[met]).inc();
+        metrics.first_event.observe(first.as_secs_f64());
         metrics.answers.with_label_values(&["served"]).inc();
         event::write(&Record::Answered {
             id: &self.job.info.id,
@@ -59,7 +62,7 @@
             first_ms: first.as_millis() as u64,
             longest_pause_ms: self.longest_pause.as_millis() as u64,
             aim_ms: self.job.route.objective.as_millis() as u64,
-            pause_aim_ms: bears.map(|bears| bears.as_millis() as u64),
+            pause_aim_ms: max_pause.map(|max_pause| max_pause.as_millis() as u64),
         });
     }
 }
--- a/crates/alderglade-serve/src/relay/part.rs
+++ b/crates/alderglade-serve/src/relay/part.rs
@@ -1,7 +1,7 @@
-//! What one server sends of a stream.
+//! The part of a stream that one server sends.
 
 use crate::client::Connection;
-use crate::generate::Open;
+use crate::generate::OpenStream;
 use crate::node::{Node, ReservationGuard};
 use crate::slowdown::Reading;
 use crate::ticket::Tickets;
@@ -14,72 +14,71 @@
 use hyper::body::Incoming;
 use std::time::Duration;
 
-/// What a server's connection gives next: `None` after the last frame.
+/// The next frame from a server's connection; `None` after the last one.
 pub(super) type Frame = Option<Result<hyper::body::Frame<Bytes>, hyper::Error>>;
 
-/// What one server sends of a stream, and what is taken up there for it.
-pub(super) struct Part {
+/// The part of a stream that one server sends, with the resources held there for it.
+pub(super) struct ServerPart {
     pub server: Server,
     body: Incoming,
     /// The connection, to be recycled after the last byte.
     pub connection: Connection,
     pub splitter: Splitter,
-    /// The placement in the book.
-    pub held: ReservationGuard,
-    /// Memory that was set aside.
+    /// The placement in the load table.
+    pub reservation: ReservationGuard,
+    /// Memory reserved at several engines, if the prompt needs it.
     tickets: Option<Tickets>,
-    /// Who reads the prompt.
+    /// The engines that read the prompt.
     pub reading: Reading,
-    /// When the first event came: the prompt has been read, and the answer runs.
-    pub began: Option<Time>,
-    /// How long the server may stay silent.
+    /// When the first event arrived: the prompt has been read, and the output is being generated.
+    pub first_event_at: Option<Time>,
+    /// Longest silence before another server is looked for.
     pub silence: Duration,
-    /// What its pauses say of the server.
+    /// The evidence of slowness in the server's pauses.
     pub suspicion: Suspicion,
-    /// Whether the server was noted as silent since it was heard last.
-    pub noted_silent: bool,
-    /// What came while another server was looked for.
+    /// Whether the server was recorded as silent since its last frame.
+    pub recorded_silent: bool,
+    /// A frame that arrived while another server was looked for.
     pub pending: Option<Frame>,
 }
 
-impl Part {
-    /// Begins with the part of a server whose answer has begun.
-    pub fn new(open: Open) -> Part {
-        Part {
+impl ServerPart {
+    /// Begins the part of a server whose response has begun.
+    pub fn new(open: OpenStream) -> ServerPart {
+        ServerPart {
             server: open.server,
             body: open.exchange.body,
             connection: open.exchange.connection,
             splitter: Splitter::default(),
-            held: open.held,
+            reservation: open.reservation,
             tickets: open.tickets,
             reading: open.reading,
-            began: None,
+            first_event_at: None,
             silence: open.silence,
             suspicion: Suspicion::default(),
-            noted_silent: false,
+            recorded_silent: false,
             pending: None,
         }
     }
 
-    /// Gives back what is taken up at a server that has failed.
-    pub fn give_back(&mut self) {
-        self.held.suspend();
+    /// Releases the resources at a server that failed.
+    pub fn release_resources(&mut self) {
+        self.reservation.suspend();
         self.tickets = None;
     }
 
-    /// Waits for the next frame; gives `None` where the server has started again and nothing more can come. Dropped
-    /// before there is one, it loses nothing.
-    pub async fn live_frame(&mut self, node: &Node) -> Option<Frame> {
-        let Part { body, server, .. } = self;
+    /// Waits for the next frame. Returns `None` if the server has restarted and nothing more can arrive. Cancel safe.
+    pub async fn next_unless_restarted(&mut self, node: &Node) -> Option<Frame> {
+        let ServerPart { body, server, .. } = self;
         tokio::select! {
-            // What is there goes before any sign that nothing more comes.
+            // Data that has arrived takes precedence over the sign that no more will arrive.
             biased;
             frame = body.frame() => Some(frame),
             () = node.wait_until_superseded(server) => None,
         }
     }
 
-    /// Waits for the next frame. Dropped before there is one, it loses nothing.
+    /// Waits for the next frame. Cancel safe.
     pub async fn frame(&mut self) -> Frame {
         self.body.frame().await
     }
--- a/crates/alderglade-serve/src/relay/take_over.rs
+++ b/crates/alderglade-serve/src/relay/take_over.rs
@@ -1,46 +1,51 @@
-//! Has other servers go on with a stream.
+//! Continues streams on other servers.
 
 use super::Relay;
 use super::end::End;
-use super::part::Part;
+use super::part::ServerPart;
 use crate::attempt;
 use crate::clock;
-use crate::generate::{self, Open};
+use crate::generate::{self, OpenStream};
 
 impl Relay {
-    /// Has another server go on after the last event, in place of one that has failed.
-    pub(super) async fn reopen(&mut self) -> Result<Open, End> {
+    /// Continues after the last event on another server, in place of one that failed.
+    pub(super) async fn reopen(&mut self) -> Result<OpenStream, End> {
         let last_event = self.last_event.clone();
-        // Most streams never need it, and each has room for it otherwise.
+        // Boxed: most streams never need this future, and each would reserve room for it otherwise.
         let reopen = Box::pin(generate::open(
             &self.node,
             &self.job,
-            &mut self.tries,
+            &mut self.state,
             last_event,
         ));
         tokio::select! {
-            reopened = reopen => reopened.map_err(|refusal| End::Failed(refusal.kind.label().to_string())),
+            reopened = reopen => {
+                reopened.map_err(|refusal| End::Failed(refusal.kind.label().to_string()))
+            }
             () = self.body_sender.closed() => Err(End::CallerLeft),
         }
     }
 
-    /// Looks for another server to go on after the last event, in place of a silent one. That one is left only when
-    /// another one has begun, so that a stream that nobody else can go on with (because the host stops, or all are
-    /// busy) lives as long as its server does.
+    /// Looks for another server to continue after the last event, in place of a silent one. The silent server is
+    /// abandoned only when another one has begun. A stream that no other server can continue, because the host is
+    /// stopping or all servers are busy, lives as long as its server does.
     ///
-    /// Gives `None` where the silent server goes on.
-    pub(super) async fn take_over(&mut self, part: &mut Part) -> Result<Option<Open>, End> {
-        if !part.noted_silent {
-            part.noted_silent = true;
-            self.note_failed(part, "silence");
+    /// Returns `None` if the silent server continues.
+    pub(super) async fn find_replacement(
+        &mut self,
+        part: &mut ServerPart,
+    ) -> Result<Option<OpenStream>, End> {
+        if !part.recorded_silent {
+            part.recorded_silent = true;
+            self.record_failure(part, "silence");
         }
-        part.held.suspend();
-        let ends = self.job.ends;
+        part.reservation.suspend();
+        let deadline = self.job.deadline;
         let last_event = self.last_event.clone();
         let mut reopen = Box::pin(generate::open(
             &self.node,
             &self.job,
-            &mut self.tries,
+            &mut self.state,
             last_event,
         ));
         let mut failed = false;
@@ -55,18 +60,20 @@
                 frame = part.frame(), if !failed => match frame {
                     Some(Err(error)) => {
                         log::debug!("silent server {} failed: {error}", part.server.id());
-                        attempt::broken_off(&self.node, &self.job, &part.server, part.began).await;
-                        part.give_back();
+                        let first_event_at = part.first_event_at;
+                        attempt::handle_broken_off(&self.node, &self.job, &part.server, first_event_at)
+                            .await;
+                        part.release_resources();
                         failed = true;
                     }
                     frame => {
                         part.pending = Some(frame);
-                        part.noted_silent = false;
+                        part.recorded_silent = false;
                         return Ok(None);
                     }
                 },
                 () = self.body_sender.closed() => return Err(End::CallerLeft),
-                () = clock::sleep_until(ends) => return Err(End::Expired),
+                () = clock::sleep_until(deadline) => return Err(End::Expired),
             }
         }
     }
--- a/crates/alderglade-serve/src/slowdown.rs
+++ b/crates/alderglade-serve/src/slowdown.rs
@@ -1,7 +1,7 @@
-//! Asks engines that are suspected of being slow, and has slow ones passed over on every host.
+//! Queries engines that are suspected of being slow, and ejects slow ones on every host.
 //!
-//! A slow engine gets no more work that would show when it is quick again. The host that found it slow last therefore
-//! looks after it: asks it on and on, until it isn't slow any more or another host does.
+//! A slow engine receives no more work that would show when it has recovered. Therefore the host that found it slow
+//! last owns the ejection: it keeps querying the engine until it is no longer slow or another host takes over.
 
 use crate::clock;
 use crate::event::{self, Record};
@@ -14,11 +14,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long after an engine was found slow it is asked again: before it would no longer be passed over, which is
-/// three seconds after its word.
-const ASK_AGAIN: Duration = Duration::from_millis(2_400);
+/// Interval between two queries of a slow engine: shorter than an ejection, which ends three seconds after the
+/// engine's last report.
+const QUERY_INTERVAL: Duration = Duration::from_millis(2_400);
 
-/// A prompt that several engines read.
+/// A prompt that is being read, possibly by several engines.
 pub struct Reading {
     engines: Vec<Key>,
     began: Time,
@@ -26,22 +26,22 @@
 }
 
 impl Reading {
-    /// Notes that a plan is carried out from now on.
+    /// Records that a plan is carried out from now on.
     pub fn begin(plan: &Plan) -> Reading {
-        let first = std::iter::once(&plan.primary);
+        let primary = std::iter::once(&plan.primary);
         Reading {
-            engines: first.chain(&plan.helpers).copied().collect(),
+            engines: primary.chain(&plan.helpers).copied().collect(),
             began: clock::now(),
             expected: plan.first_event,
         }
     }
 
-    /// Takes that the first event has come; where that was very late, has all that read parts looked at. One engine that
-    /// reads alone shows in the pauses of its answer.
+    /// Records that the first event arrived. If it was very late, queries all engines that read parts. An engine that
+    /// reads alone is detected by the pauses of its response.
     pub fn end(&self, node: &Rc<Node>) {
-        let took = clock::now().since(self.began);
-        let shared = self.engines.len() > 1;
-        if shared && slowdown::is_late(self.expected, took) {
+        let elapsed = clock::now().since(self.began);
+        let is_shared = self.engines.len() > 1;
+        if is_shared && slowdown::is_late(self.expected, elapsed) {
             self.engines
                 .iter()
                 .for_each(|engine| inspect(node, *engine));
@@ -49,52 +49,53 @@
     }
 }
 
-/// Asks an engine how slow it is and looks after it if it is, unless it was asked lately or is passed over already.
+/// Queries how slow an engine is, and keeps it ejected if it is slow. Does nothing if the engine was queried recently
+/// or is already ejected.
 pub fn inspect(node: &Rc<Node>, server: Key) {
-    let asks = {
+    let begins = {
         let mut state = node.state.borrow_mut();
         state.health.begin_slowness_check(server, clock::now())
     };
-    if asks {
-        tokio::task::spawn_local(look_after(node.clone(), server));
+    if begins {
+        tokio::task::spawn_local(maintain_ejection(node.clone(), server));
     }
 }
 
-/// Has an engine passed over for as long as it says that it is slow and this host is the one that looks after it.
-async fn look_after(node: Rc<Node>, server: Key) {
-    while let Some(slowdown) = ask(&node, server).await {
+/// Ejects an engine for as long as it reports that it is slow and this host owns the ejection.
+async fn maintain_ejection(node: Rc<Node>, server: Key) {
+    while let Some(slowdown) = query_slowdown(&node, server).await {
         if !slowdown::is_slow(slowdown) {
             return;
         }
-        node.note_slow(server, slowdown);
-        clock::sleep(ASK_AGAIN).await;
+        node.eject_slow(server, slowdown);
+        clock::sleep(QUERY_INTERVAL).await;
         if !node.state.borrow().health.owns_ejection(server) {
             return;
         }
     }
 }
 
-/// Gives how many times the stated times an engine takes, as it reports it; `None` where it is gone, has started again,
-/// doesn't answer or doesn't say.
-async fn ask(node: &Rc<Node>, server: Key) -> Option<f64> {
+/// Returns the slowdown that an engine reports: the ratio of its actual to its stated times. Returns `None` if it is
+/// gone, has restarted, does not respond or does not report it.
+async fn query_slowdown(node: &Rc<Node>, server: Key) -> Option<f64> {
     let server = node.server(server)?;
     let report = order::call(node, &server, node.translator.report()).await;
     match report {
         Ok(answer) => {
             let status = node.translator.status(answer.body());
-            let same = node.apply_status(&server, status);
-            status.slowdown.filter(|_| same)
+            let same_incarnation = node.apply_status(&server, status);
+            status.slowdown.filter(|_| same_incarnation)
         }
         Err(error) => {
-            log::debug!("no report of {}: {error}", server.id());
+            log::debug!("no report from {}: {error}", server.id());
             None
         }
     }
 }
 
 impl Node {
-    /// Notes that a server says that it is slow, and has peers told.
-    fn note_slow(&self, server: Key, slowdown: f64) {
+    /// Ejects a server that reports that it is slow, and notifies peers.
+    fn eject_slow(&self, server: Key, slowdown: f64) {
         let Some(known) = self.server(server) else {
             return;
         };
--- a/crates/alderglade-serve/src/ticket.rs
+++ b/crates/alderglade-serve/src/ticket.rs
@@ -1,7 +1,7 @@
-//! Memory set aside at several engines for a prompt that fits none of them.
+//! Memory reserved at several engines for a prompt that does not fit into any single one.
 //!
-//! All shares are taken or none. They are renewed while the prompt is served and given back on every
-//! path; after a kill of this process they lapse by themselves, because each is held only briefly.
+//! Either all shares are reserved or none. They are renewed while the prompt is served and released on every path. If
+//! this process is killed they expire, because each reservation is short.
 
 use crate::clock;
 use crate::event::{self, Record};
@@ -16,93 +16,93 @@
 use std::time::Duration;
 use tokio::task::{AbortHandle, JoinHandle};
 
-/// What is taken off the time that memory may stay unused, so that it lapses before.
-const LAPSE_MARGIN: Duration = Duration::from_millis(600);
-/// How often memory is renewed within the time that it is held for.
-const RENEWALS: u32 = 3;
-/// How often a release is tried; after that the memory lapses.
+/// Margin by which a reservation is shorter than the time that memory may stay unused, so that it expires before.
+const EXPIRY_MARGIN: Duration = Duration::from_millis(600);
+/// Number of renewals within the duration of a reservation.
+const RENEWALS_PER_HOLD: u32 = 3;
+/// Number of attempts to release a share; after that the memory expires.
 const RELEASE_TRIES: u32 = 3;
-/// The pause between two tries to release.
+/// Delay between two attempts to release a share.
 const RELEASE_PAUSE: Duration = Duration::from_millis(300);
 
-/// One share that was set aside.
+/// One reserved share.
 #[derive(Debug, Clone)]
-pub struct Taken {
-    /// The engine.
+pub struct TicketShare {
+    /// The engine that holds the share.
     pub server: Server,
-    /// The ticket's name.
+    /// The ticket's name, unique to the request, the attempt and the engine.
     pub name: Name,
     share: Share,
 }
 
-/// What an engine said to the order to set a share aside.
-struct Reply {
-    taken: Taken,
+/// An engine's response to the order to reserve a share.
+struct ReserveReply {
+    ticket: TicketShare,
     result: Result<Response<Bytes>, order::Error>,
 }
 
-/// All shares of one prompt; dropped, they are given back.
+/// All shares of one prompt; they are released on drop.
 pub struct Tickets {
     node: Rc<Node>,
-    taken: Vec<Taken>,
+    shares: Vec<TicketShare>,
     renewal: Option<AbortHandle>,
 }
 
 impl Tickets {
-    /// Sets all shares aside, or none.
+    /// Reserves all shares, or none.
     ///
-    /// Returns `None` where one of the engines has not got the memory or doesn't answer.
+    /// Returns `None` if one of the engines lacks the memory or does not respond.
     pub async fn take(node: &Rc<Node>, request: &str, shares: &[Share]) -> Option<Tickets> {
-        let hold = node.settings.memory_idle.saturating_sub(LAPSE_MARGIN);
+        let hold = node.settings.memory_idle.saturating_sub(EXPIRY_MARGIN);
         let mut tickets = Tickets {
             node: node.clone(),
-            taken: Vec::new(),
+            shares: Vec::new(),
             renewal: None,
         };
         let mut orders = Vec::new();
         for share in shares {
-            let taken = tickets.note(request, share)?;
-            let order = node.translator.reserve(&taken.name, share, hold);
+            let ticket = tickets.record(request, share)?;
+            let order = node.translator.reserve(&ticket.name, share, hold);
             let node = node.clone();
             orders.push(tokio::task::spawn_local(async move {
-                let result = order::call(&node, &taken.server, order).await;
-                Reply { taken, result }
+                let result = order::call(&node, &ticket.server, order).await;
+                ReserveReply { ticket, result }
             }));
         }
-        if !all_granted(node, request, orders).await {
+        if !all_reserved(node, request, orders).await {
             return None;
         }
-        tickets.renewal = Some(tickets.renew(hold));
+        tickets.renewal = Some(tickets.start_renewal(hold));
         node.metrics.tickets.inc();
         Some(tickets)
     }
 
-    /// Notes a share before it is asked for: also one whose answer is lost may be held, and is given
-    /// back with the others.
-    fn note(&mut self, request: &str, share: &Share) -> Option<Taken> {
+    /// Records a share before it is requested: a share whose response is lost may be reserved all the same, and is
+    /// released with the others.
+    fn record(&mut self, request: &str, share: &Share) -> Option<TicketShare> {
         let server = self.node.server(share.server)?;
-        let taken = Taken {
+        let ticket = TicketShare {
             name: ticket_name(request, &server),
             server,
             share: share.clone(),
         };
-        self.taken.push(taken.clone());
-        Some(taken)
+        self.shares.push(ticket.clone());
+        Some(ticket)
     }
 
-    /// Gives the shares.
-    pub fn taken(&self) -> &[Taken] {
-        &self.taken
+    /// Returns the reserved shares.
+    pub fn shares(&self) -> &[TicketShare] {
+        &self.shares
     }
 
-    fn renew(&self, hold: Duration) -> AbortHandle {
+    fn start_renewal(&self, hold: Duration) -> AbortHandle {
         let node = self.node.clone();
-        let taken = self.taken.clone();
+        let shares = self.shares.clone();
         let task = tokio::task::spawn_local(async move {
             loop {
-                clock::sleep(hold / RENEWALS).await;
-                for one in &taken {
-                    renew(&node, one, hold).await;
+                clock::sleep(hold / RENEWALS_PER_HOLD).await;
+                for ticket in &shares {
+                    renew(&node, ticket, hold).await;
                 }
             }
         });
@@ -116,9 +116,9 @@
             renewal.abort();
             self.node.metrics.tickets.dec();
         }
-        for taken in std::mem::take(&mut self.taken) {
+        for ticket in std::mem::take(&mut self.shares) {
             let node = self.node.clone();
-            tokio::task::spawn_local(async move { release(&node, &taken).await });
+            tokio::task::spawn_local(async move { release(&node, &ticket).await });
         }
     }
 }
@@ -127,67 +127,73 @@
     format!("{request}-{}", server.id()).into()
 }
 
-/// Waits for the answers of all engines, and says whether each of them has set the memory aside.
-async fn all_granted(node: &Node, request: &str, orders: Vec<JoinHandle<Reply>>) -> bool {
+/// Waits for the responses of all engines and returns whether each of them reserved the memory.
+async fn all_reserved(node: &Node, request: &str, orders: Vec<JoinHandle<ReserveReply>>) -> bool {
     let mut all = true;
     for order in orders {
         all &= match order.await {
-            Ok(reply) => granted(node, request, reply),
+            Ok(reply) => check_reserved(node, request, reply),
             Err(_) => false,
         };
     }
     all
 }
 
-/// Says whether an engine has set memory aside; what another one of its lifetimes has taken is given back with the rest.
-fn granted(node: &Node, request: &str, reply: Reply) -> bool {
-    let Reply { taken, result } = reply;
+/// Returns whether an engine reserved the memory. A share reserved by another incarnation of the engine is released
+/// with the rest.
+fn check_reserved(node: &Node, request: &str, reply: ReserveReply) -> bool {
+    let ReserveReply { ticket, result } = reply;
     let problem = match result {
-        Ok(answer) if !hears(node, &taken, &answer) => "it has started again".to_string(),
+        Ok(answer) if !applies_status(node, &ticket, &answer) => "it has started again".to_string(),
         Ok(answer) if answer.status() == StatusCode::OK => return true,
         Ok(answer) => answer.status().to_string(),
         Err(error) => error.to_string(),
     };
     event::write(&Record::MemoryRefused {
         id: request,
-        server: taken.server.id(),
+        server: ticket.server.id(),
         problem: &problem,
     });
     false
 }
 
-/// Says whether an engine's answer is of the lifetime that the memory was asked of.
-fn hears(node: &Node, taken: &Taken, answer: &Response<Bytes>) -> bool {
+/// Applies the status in an engine's response; returns whether it comes from the incarnation that was asked for the
+/// memory.
+fn applies_status(node: &Node, ticket: &TicketShare, answer: &Response<Bytes>) -> bool {
     let status = node.translator.status(answer.body());
-    node.apply_status(&taken.server, status)
+    node.apply_status(&ticket.server, status)
 }
 
-/// Renews a share, unless its engine has started again: that one holds nothing, and would set memory aside anew.
-async fn renew(node: &Rc<Node>, taken: &Taken, hold: Duration) {
-    if node.is_superseded(&taken.server) {
+/// Renews a share, unless its engine has restarted: the new incarnation holds nothing and would reserve the memory
+/// anew.
+async fn renew(node: &Rc<Node>, ticket: &TicketShare, hold: Duration) {
+    if node.is_superseded(&ticket.server) {
         return;
     }
-    let order = node.translator.reserve(&taken.name, &taken.share, hold);
-    match order::call(node, &taken.server, order).await {
+    let order = node.translator.reserve(&ticket.name, &ticket.share, hold);
+    match order::call(node, &ticket.server, order).await {
         Ok(answer) => {
-            hears(node, taken, &answer);
+            applies_status(node, ticket, &answer);
         }
-        Err(problem) => log::debug!("memory at {} not renewed: {problem}", taken.server.id()),
+        Err(problem) => log::debug!(
+            "memory at {} was not renewed: {problem}",
+            ticket.server.id()
+        ),
     }
 }
 
-async fn release(node: &Rc<Node>, taken: &Taken) {
+async fn release(node: &Rc<Node>, ticket: &TicketShare) {
     let mut problem = String::new();
     for _ in 0..RELEASE_TRIES {
-        let order = node.translator.release(&taken.name);
-        match order::call(node, &taken.server, order).await {
+        let order = node.translator.release(&ticket.name);
+        match order::call(node, &ticket.server, order).await {
             Ok(_) => return,
             Err(error) => problem = error.to_string(),
         }
         clock::sleep(RELEASE_PAUSE).await;
     }
     event::write(&Record::MemoryNotReleased {
-        server: taken.server.id(),
+        server: ticket.server.id(),
         problem: &problem,
     });
 }
--- a/crates/alderglade-serve/src/translate.rs
+++ b/crates/alderglade-serve/src/translate.rs
@@ -1,4 +1,5 @@
-//! The port to a deployment's wire: what callers and backend servers say, in this project's types.
+//! The interface to a deployment's wire format: translates messages of callers and backend servers to and from this
+//! project's types.
 
 use alderglade_core::Name;
 use alderglade_core::fleet::placement::Share;
@@ -9,11 +10,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A head that can't be understood.
+/// A request head that cannot be parsed.
 #[derive(Debug, Snafu)]
 #[snafu(display("header {header}: {problem}"))]
 pub struct Malformed {
-    /// The header.
+    /// The name of the header.
     pub header: &'static str,
     /// What is wrong with it.
     pub problem: &'static str,
@@ -22,127 +23,127 @@
 /// The prompt of a generation, as its caller describes it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Prompt {
-    /// Its length in tokens.
+    /// The length of the prompt in tokens.
     pub tokens: u64,
-    /// The most tokens of the answer.
+    /// The maximum number of output tokens.
     pub max_output: u64,
-    /// The caller's estimate of the tokens of the answer.
+    /// The caller's estimate of the number of output tokens.
     pub output_estimate: Option<u64>,
 }
 
 impl Prompt {
-    /// Gives the tokens that the answer is likely to have: the caller's estimate, else the most.
+    /// Returns the expected number of output tokens: the caller's estimate, or the maximum if there is none.
     pub fn expected_output_tokens(&self) -> u64 {
         self.output_estimate.unwrap_or(self.max_output)
     }
 }
 
-/// What a caller says of its request beside method, path and body.
+/// What a caller states about its request apart from method, path and body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestInfo {
-    /// The request's identity, new with each attempt of a caller.
+    /// The id of the request, new with each attempt of a caller.
     pub id: Name,
-    /// How long the caller waits.
+    /// How long the caller waits, if it says so.
     pub time_limit: Option<Duration>,
-    /// The key that the caller shows.
+    /// The API key that the caller presents.
     pub key: Option<Name>,
-    /// The prompt, where the request is a generation.
+    /// The prompt, if the request is a generation.
     pub prompt: Option<Prompt>,
-    /// The last event that the caller already has of the stream.
+    /// The id of the last event of the stream that the caller already has.
     pub last_event: Option<String>,
 }
 
-/// A server that reads a part of a prompt, as told to the one that answers.
+/// A server that reads a part of a prompt or holds memory for it, as described to the server that answers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Helper {
-    /// Where it is reached.
+    /// The address of the server.
     pub address: SocketAddr,
-    /// The memory set aside there for the prompt, by its ticket.
+    /// The ticket of the memory reserved there for the prompt.
     pub ticket: Option<Name>,
 }
 
-/// What a backend server is told beside what the caller said.
+/// What a backend server receives in addition to the caller's headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Dispatch {
-    /// The server that is meant; any other must refuse.
+    /// The intended server; any other server must refuse.
     pub server: Name,
-    /// The time that is left for the work.
+    /// The remaining time for the work.
     pub time_left: Duration,
-    /// The workspace that the request is served for.
+    /// The workspace that the request is served for, if any.
     pub workspace: Option<Name>,
-    /// The servers that read parts of the prompt.
+    /// The servers that read parts of the prompt or hold memory for it.
     pub helpers: Vec<Helper>,
-    /// The last event that the caller already has.
+    /// The id of the last event that the caller already has.
     pub last_event: Option<String>,
 }
 
-/// What the head of a backend server's answer says.
+/// The contents of the head of a backend server's response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
-    /// The request that it answers.
+    /// The id of the request that it answers, if present.
     pub id: Option<Name>,
-    /// Whether the server says that it did not run the request.
+    /// Whether the server states that it did not run the request.
     pub not_run: bool,
-    /// Where the server at fault is reached, if the sender says which one that is.
+    /// The address of the server at fault, if the sender names one.
     pub at_fault: Option<SocketAddr>,
-    /// Whether it carries the mark of a server's own answer.
+    /// Whether the response carries the marker of a server's own response.
     pub genuine: bool,
 }
 
-/// What a server says of itself when it answers an [`Order`].
+/// What a server reports about itself in response to an [`Order`].
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Status {
-    /// When it started, in Unix milliseconds, if it says so.
+    /// When the server started, in Unix milliseconds, if reported.
     pub born: Option<u64>,
-    /// How many times the stated times it takes, if it says so.
+    /// The ratio of the server's actual to its stated times, if reported.
     pub slowdown: Option<f64>,
 }
 
-/// A call to an engine beside the requests that it serves.
+/// A call to an engine apart from the requests that it serves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// The method.
+    /// The request method.
     pub method: Method,
-    /// The path.
+    /// The request path.
     pub path: String,
-    /// The type of the body.
+    /// The content type of the body.
     pub content_type: &'static str,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
 }
 
-/// Translates between this project's types and the deployment's wire.
+/// Translates between this project's types and the deployment's wire format.
 pub trait Translator {
-    /// Reads what a caller says of its request.
+    /// Parses the head of a caller's request.
     ///
     /// # Errors
     ///
-    /// Where a header is missing or can't be understood.
+    /// Returns an error if a header is missing or malformed.
     fn ask(&self, head: &HeaderMap) -> Result<RequestInfo, Malformed>;
 
-    /// Gives the headers that go to a backend server. Headers that only the system may set are
-    /// dropped from what the caller sent.
+    /// Returns the headers that are sent to a backend server. Headers that only the system may set are dropped from
+    /// the caller's headers.
     fn forward(&self, head: &HeaderMap, dispatch: &Dispatch) -> HeaderMap;
 
-    /// Reads the head of a backend server's answer.
+    /// Parses the head of a backend server's response.
     fn reply(&self, head: &HeaderMap) -> Reply;
 
-    /// Reads what a backend server says of itself in the head of an answer to a request or an order; what can't be read is
-    /// left out.
+    /// Parses the statement that a backend server makes about itself in the head of a response to a request or an
+    /// order. Values that cannot be parsed are left out.
     fn statement(&self, status: StatusCode, head: &HeaderMap) -> Statement;
 
-    /// Gives the headers of a backend server's answer that go to the caller.
+    /// Returns the headers of a backend server's response that are sent to the caller.
     fn give_back(&self, head: &HeaderMap) -> HeaderMap;
 
-    /// Gives the order that sets memory aside or renews it.
+    /// Returns the order that reserves memory or renews a reservation.
     fn reserve(&self, ticket: &str, share: &Share, hold: Duration) -> Order;
 
-    /// Gives the order that gives memory back.
+    /// Returns the order that releases memory.
     fn release(&self, ticket: &str) -> Order;
 
-    /// Gives the call that asks an engine for a report on itself.
+    /// Returns the order that queries an engine for a report on itself.
     fn report(&self) -> Order;
 
-    /// Reads what a server says of itself in the body of an answer to such a call; what can't be read is left out.
+    /// Parses the report in the body of a response to an order. Values that cannot be parsed are left out.
     fn status(&self, body: &[u8]) -> Status;
 }
--- a/crates/alderglade-serve/src/unary.rs
+++ b/crates/alderglade-serve/src/unary.rs
@@ -1,7 +1,7 @@
-//! Requests that are answered at once by plain backend servers.
+//! Serves requests whose response is not a stream, by plain backend servers.
 
 use crate::answer::{Chunk, Content};
-use crate::attempt::{self, Miss};
+use crate::attempt::{self, SendFailure};
 use crate::body_sender::{BodySender, CallerGone};
 use crate::client::{Collected, Exchange, Rest};
 use crate::clock;
@@ -23,109 +23,109 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// When a caller should come back if no server took its request.
-const COME_BACK: Duration = Duration::from_millis(250);
-/// Servers that are tried for one request at most, those counted to which nothing could be sent.
-const MOST_CONNECTS: usize = 4;
-/// The part of its time that a repeatable request gives one server while others are left.
-const FIRST_TRY: f64 = 0.4;
+/// Retry delay that a caller is given if no server took its request.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Maximum number of servers tried for one request, including those to which nothing could be sent.
+const MAX_SERVERS: usize = 4;
+/// Share of its time that a repeatable request gives one server while others remain.
+const FIRST_TRY_SHARE: f64 = 0.4;
 
-/// A server, and the leave to send it the request.
-struct Choice {
+/// A server and the permit to send it the request.
+struct PermittedServer {
     server: Server,
     permit: Permit,
 }
 
-/// A server's answer: all of it, or as much as the host has memory for.
-struct Taken {
-    first: Chunk,
-    /// What is still to come.
+/// A server's response: all of it, or as much as the host has memory for.
+struct ServerAnswer {
+    first_chunk: Chunk,
+    /// The remaining body, if any.
     rest: Option<Rest>,
 }
 
-impl Taken {
-    /// Gives the body of the caller's answer. What is still to come is passed on as the caller takes it.
+impl ServerAnswer {
+    /// Returns the body of the caller's response. The rest is relayed as the caller reads it.
     fn content(self, node: &Rc<Node>, job: &Job) -> Content {
         let Some(rest) = self.rest else {
-            return Content::Whole(Some(self.first));
+            return Content::Whole(Some(self.first_chunk));
         };
         let (body_sender, receiver) = BodySender::open(&node.memory);
-        body_sender.begin(self.first);
-        let flow = Flow {
+        body_sender.begin(self.first_chunk);
+        let relay = BodyRelay {
             node: node.clone(),
             id: job.info.id.clone(),
-            ends: job.ends,
+            deadline: job.deadline,
             body_sender,
             rest,
         };
-        tokio::task::spawn_local(flow.run());
+        tokio::task::spawn_local(relay.run());
         Content::Stream(receiver)
     }
 }
 
-/// What is told of an answer whose caller has left.
-const LEFT: &str = "the caller has left";
+/// Problem logged when a caller left before its response was complete.
+const CALLER_LEFT: &str = "the caller has left";
 
-/// The rest of an answer that is too large to be taken as a whole, on its way to its caller.
-struct Flow {
+/// The relay of the rest of a response that is too large to be buffered.
+struct BodyRelay {
     node: Rc<Node>,
     id: Name,
-    ends: Time,
+    deadline: Time,
     body_sender: BodySender,
     rest: Rest,
 }
 
-impl Flow {
+impl BodyRelay {
     async fn run(mut self) {
         let node = self.node.clone();
-        let ends = self.ends;
-        let passed_on = tokio::select! {
+        let deadline = self.deadline;
+        let relayed = tokio::select! {
             biased;
-            passed_on = self.pass_on() => passed_on,
+            relayed = self.relay_rest() => relayed,
             () = node.wait_for_request_end() => Err("the host stops".to_string()),
-            () = clock::sleep_until(ends) => Err("the time is over".to_string()),
+            () = clock::sleep_until(deadline) => Err("the time is over".to_string()),
         };
-        match passed_on {
+        match relayed {
             Ok(()) => self.rest.connection.recycle(),
             Err(problem) => {
-                log::info!("the answer to {} was broken off: {problem}", self.id);
+                log::info!("response to {} was broken off: {problem}", self.id);
                 self.body_sender.break_off();
             }
         }
     }
 
-    async fn pass_on(&mut self) -> Result<(), String> {
+    async fn relay_rest(&mut self) -> Result<(), String> {
         loop {
-            self.body_sender.room().await;
+            self.body_sender.writable().await;
             let data = tokio::select! {
                 biased;
                 data = self.rest.next() => data.map_err(|error| error.to_string())?,
-                () = self.body_sender.closed() => return Err(LEFT.to_string()),
+                () = self.body_sender.closed() => return Err(CALLER_LEFT.to_string()),
             };
             let Some(data) = data else {
                 return Ok(());
             };
-            let sent = self.body_sender.hand_on(data).await;
-            sent.map_err(|CallerGone| LEFT.to_string())?;
+            let sent = self.body_sender.send(data).await;
+            sent.map_err(|CallerGone| CALLER_LEFT.to_string())?;
         }
     }
 }
 
-/// How one try ended.
+/// The result of one attempt.
 enum Try {
-    /// The server's answer is there as a whole.
-    Whole(Response<Taken>),
-    /// Nothing was sent; it doesn't count as an attempt.
+    /// The server responded, and the response can be relayed.
+    Whole(Response<ServerAnswer>),
+    /// Nothing was sent; this is not counted as an attempt.
     NotSent(Life<Waiting>),
-    /// It was sent, and there is no answer that counts.
-    Missed(Life<Waiting>),
-    /// The server is silent, and this other one can take the request.
-    Replaced(Life<Waiting>, Choice),
-    /// The request's time is over.
+    /// The request was sent, and there is no valid response.
+    Failed(Life<Waiting>),
+    /// The server is silent, and this other server can take the request.
+    Replaced(Life<Waiting>, PermittedServer),
+    /// The request's deadline has passed.
     Expired(Life<Waiting>),
 }
 
-/// Serves a request whose answer is taken as a whole.
+/// Serves a request that is not a stream.
 pub async fn serve(node: &Rc<Node>, job: Job) -> Response<Content> {
     let result = run(node, &job).await;
     match result {
@@ -134,36 +134,36 @@
     }
 }
 
-/// Gives a server's answer. Where it is a failure that was worth another try, and none of these came
-/// to an answer, the caller gets that failure.
-async fn run(node: &Rc<Node>, job: &Job) -> Result<Response<Taken>, Refusal> {
+/// Returns a server's response. If a response was a failure that justified a retry and no retry succeeded, the caller
+/// receives that failure.
+async fn run(node: &Rc<Node>, job: &Job) -> Result<Response<ServerAnswer>, Refusal> {
     let mut failed = None;
     node.record_first_send(&job.service);
     let result = try_servers(node, job, &mut failed).await;
     result.or_else(|refusal| failed.ok_or(refusal))
 }
 
-/// Tries one server after the other. Leaves the last failure that was worth another try in `failed`.
+/// Tries one server after the other. Stores the last failure that justified a retry in `failed`.
 async fn try_servers(
     node: &Rc<Node>,
     job: &Job,
-    failed: &mut Option<Response<Taken>>,
-) -> Result<Response<Taken>, Refusal> {
+    failed: &mut Option<Response<ServerAnswer>>,
+) -> Result<Response<ServerAnswer>, Refusal> {
     let mut life = Life::new();
-    let mut tried: Vec<Key> = Vec::new();
+    let mut tried_servers: Vec<Key> = Vec::new();
     let mut sends = 0;
-    let mut found = None;
+    let mut replacement = None;
     loop {
-        let choice = match found.take() {
-            Some(choice) => choice,
-            None => next_server(node, job, &life, &tried, sends).await?,
+        let permitted = match replacement.take() {
+            Some(permitted) => permitted,
+            None => next_server(node, job, &life, &tried_servers, sends).await?,
         };
-        job.cleared(node, &life).await?;
-        tried.push(choice.server.key());
+        job.check_quarantine(node, &life).await?;
+        tried_servers.push(permitted.server.key());
         sends += 1;
-        let more = sends < job.route.max_attempts;
-        match one_try(node, job, choice, life, &tried, sends).await {
-            Try::Whole(response) if more && worth_retrying(job, &response) => {
+        let attempts_left = sends < job.route.max_attempts;
+        match try_server(node, job, permitted, life, &tried_servers, sends).await {
+            Try::Whole(response) if attempts_left && may_retry(job, &response) => {
                 life = Life::new().send().lost();
                 *failed = Some(response);
             }
@@ -175,78 +175,79 @@
                     node.refund_retry(&job.service);
                 }
             }
-            Try::Missed(waiting) if waiting.may_have_run() && !job.route.kind.is_repeatable() => {
-                return Err(waiting.refuse(ErrorKind::ContactLost, COME_BACK));
+            Try::Failed(waiting) if waiting.may_have_run() && !job.route.kind.is_repeatable() => {
+                return Err(waiting.refuse(ErrorKind::ContactLost, RETRY_DELAY));
             }
-            Try::Missed(waiting) => life = waiting,
+            Try::Failed(waiting) => life = waiting,
             Try::Replaced(waiting, other) => {
                 life = waiting;
-                found = Some(other);
+                replacement = Some(other);
             }
             Try::Expired(waiting) => {
-                return Err(waiting.refuse(ErrorKind::ExpiredWaiting, COME_BACK));
+                return Err(waiting.refuse(ErrorKind::ExpiredWaiting, RETRY_DELAY));
             }
         }
     }
 }
 
-/// Picks the server of the next try, or refuses where there is none or no try is left.
+/// Picks the server of the next attempt. Returns a refusal if there is none or no attempt remains.
 async fn next_server(
     node: &Node,
     job: &Job,
     life: &Life<Waiting>,
-    tried: &[Key],
+    tried_servers: &[Key],
     sends: u32,
-) -> Result<Choice, Refusal> {
+) -> Result<PermittedServer, Refusal> {
     if !life.may_have_run() && !node.accepts_requests() {
-        return Err(life.refuse(ErrorKind::Draining, COME_BACK));
+        return Err(life.refuse(ErrorKind::Draining, RETRY_DELAY));
     }
-    let Some(choice) = permitted(node, job, tried).await else {
+    let Some(permitted) = pick_permitted(node, job, tried_servers).await else {
         return Err(no_server(node, job, life));
     };
-    let used_up = sends >= job.route.max_attempts.max(1) || tried.len() >= MOST_CONNECTS;
-    if used_up || (sends > 0 && !node.spend_retry(&job.info.id, &job.service).await) {
-        return Err(life.refuse(ErrorKind::Overloaded, COME_BACK));
+    let exhausted = sends >= job.route.max_attempts.max(1) || tried_servers.len() >= MAX_SERVERS;
+    if exhausted || (sends > 0 && !node.spend_retry(&job.info.id, &job.service).await) {
+        return Err(life.refuse(ErrorKind::Overloaded, RETRY_DELAY));
     }
-    Ok(choice)
+    Ok(permitted)
 }
 
-/// Picks a server that takes the request now, if there is one.
-async fn permitted(node: &Node, job: &Job, tried: &[Key]) -> Option<Choice> {
-    while !job.left().is_zero() {
-        let server = node.pick_server(&job.service, &job.homes, tried)?;
-        // One that takes nothing now isn't picked the next time.
+/// Picks a server that accepts the request now, if there is one.
+async fn pick_permitted(node: &Node, job: &Job, tried_servers: &[Key]) -> Option<PermittedServer> {
+    while !job.time_left().is_zero() {
+        let server = node.pick_server(&job.service, &job.homes, tried_servers)?;
+        // The next pick leaves out a server that accepts nothing now.
         if let Ok(permit) = node.permit(server.key()).await {
-            return Some(Choice { server, permit });
+            return Some(PermittedServer { server, permit });
         }
     }
     None
 }
 
-/// Refuses a request that no server takes now. Where that is for a while only, its caller hears for how long.
+/// Refuses a request that no server accepts now. If the cause is known to be temporary, the caller receives its
+/// duration.
 fn no_server(node: &Node, job: &Job, life: &Life<Waiting>) -> Refusal {
     match node.unavailability(&job.service, &job.homes) {
         Some(Unavailability { kind, after }) => life.refuse(kind, after),
-        None => life.refuse(ErrorKind::NoCapacity, COME_BACK),
+        None => life.refuse(ErrorKind::NoCapacity, RETRY_DELAY),
     }
 }
 
-/// Sends a request to one server and waits for its whole answer. A server that is silent for its part of the time is left
-/// where another one can take the request; else it has all of the time. `sends` counts this send.
-async fn one_try(
+/// Sends a request to one server and waits for its response. A server that exceeds its share of the time is abandoned
+/// if another one can take the request. Otherwise it has all of the remaining time. `sends` includes this send.
+async fn try_server(
     node: &Rc<Node>,
     job: &Job,
-    choice: Choice,
+    permitted: PermittedServer,
     life: Life<Waiting>,
-    tried: &[Key],
+    tried_servers: &[Key],
     sends: u32,
 ) -> Try {
-    let Choice { server, permit } = choice;
+    let PermittedServer { server, permit } = permitted;
     let server = &server;
     let _call = node.track_call(server.key());
-    tell_placed(node, job, server, sends);
+    log_placed(node, job, server, sends);
     job.progress.set_stage(Stage::Sent(server.id().clone()));
-    let more = sends < job.route.max_attempts && job.route.kind.is_repeatable();
+    let may_replace = sends < job.route.max_attempts && job.route.kind.is_repeatable();
     let sent = life.send();
     let exchange = attempt::send(node, job, server, permit, Vec::new(), None, sends);
     let whole = async {
@@ -254,46 +255,52 @@
         collect(node, job, server, sends, exchange, &reply).await
     };
     tokio::select! {
-        // An answer that is there goes before any sign that there was none.
+        // A response that has arrived takes precedence over any sign of its absence.
         biased;
         answer = whole => match answer {
             Ok(response) => Try::Whole(response),
-            Err(Miss::NotSent | Miss::Closed) => Try::NotSent(sent.never_sent()),
-            Err(Miss::Disclaimed(_)) => Try::Missed(sent.disclaimed()),
-            Err(Miss::Lost) => Try::Missed(sent.lost()),
+            Err(SendFailure::NotSent | SendFailure::Closed) => Try::NotSent(sent.never_sent()),
+            Err(SendFailure::Disclaimed(_)) => Try::Failed(sent.disclaimed()),
+            Err(SendFailure::Lost) => Try::Failed(sent.lost()),
         },
-        other = find_other(node, job, server, tried, sends), if more => {
+        other = find_replacement(node, job, server, tried_servers, sends), if may_replace => {
             Try::Replaced(sent.lost(), other)
         }
-        () = attempt::over(node, job, server, sends) => Try::Missed(sent.lost()),
-        () = clock::patience(job.left()) => {
-            attempt::note_silent(node, job, server, sends, attempt::NO_ANSWER);
+        () = attempt::wait_until_restarted(node, job, server, sends) => Try::Failed(sent.lost()),
+        () = clock::sleep_and_yield(job.time_left()) => {
+            attempt::record_silence(node, job, server, sends, attempt::NO_ANSWER_IN_TIME);
             Try::Expired(sent.lost())
         }
     }
 }
 
-/// Finds another server for a request whose server has been silent for its part of the time; waits on where there is
-/// none, or where the host ends before that one would have had its time.
-async fn find_other(node: &Node, job: &Job, silent: &Server, tried: &[Key], sends: u32) -> Choice {
-    clock::patience(job.left().mul_f64(FIRST_TRY)).await;
-    attempt::note_silent(node, job, silent, sends, attempt::NO_ANSWER);
+/// Finds another server for a request whose server exceeded its share of the time. Keeps waiting while there is none,
+/// or if the host will stop before the other server would have had its time.
+async fn find_replacement(
+    node: &Node,
+    job: &Job,
+    silent: &Server,
+    tried_servers: &[Key],
+    sends: u32,
+) -> PermittedServer {
+    clock::sleep_and_yield(job.time_left().mul_f64(FIRST_TRY_SHARE)).await;
+    attempt::record_silence(node, job, silent, sends, attempt::NO_ANSWER_IN_TIME);
     loop {
-        let other = node.pick_server(&job.service, &job.homes, tried);
-        let other = other.filter(|server| !tried.contains(&server.key()));
-        let cut_short = node.ends_in().is_some_and(|left| left < job.left());
-        let room = tried.len() < MOST_CONNECTS && !cut_short;
+        let other = node.pick_server(&job.service, &job.homes, tried_servers);
+        let other = other.filter(|server| !tried_servers.contains(&server.key()));
+        let stops_before_deadline = node.ends_in().is_some_and(|left| left < job.time_left());
+        let room = tried_servers.len() < MAX_SERVERS && !stops_before_deadline;
         if let Some(server) = other.filter(|_| room)
             && let Ok(permit) = node.permit(server.key()).await
             && node.spend_retry(&job.info.id, &job.service).await
         {
-            return Choice { server, permit };
+            return PermittedServer { server, permit };
         }
-        clock::sleep(attempt::LOOK_AGAIN).await;
+        clock::sleep(attempt::REPLACEMENT_RETRY_DELAY).await;
     }
 }
 
-fn tell_placed(node: &Node, job: &Job, server: &Server, attempt: u32) {
+fn log_placed(node: &Node, job: &Job, server: &Server, attempt: u32) {
     event::write(&Record::Placed {
         id: &job.info.id,
         asked: job.fingerprint,
@@ -309,35 +316,35 @@
     });
 }
 
-/// Reads the whole answer and judges whether it can be passed on.
+/// Reads the response and checks whether it can be relayed.
 async fn collect(
     node: &Rc<Node>,
     job: &Job,
     server: &Server,
-    number: u32,
+    attempt: u32,
     exchange: Exchange,
     reply: &Reply,
-) -> Result<Response<Taken>, Miss> {
+) -> Result<Response<ServerAnswer>, SendFailure> {
     let genuine = reply.genuine;
-    let mut kept = Portion::new(&node.memory);
-    let collected = exchange.collect_while(|bytes| kept.grow(bytes)).await;
+    let mut memory = Portion::new(&node.memory);
+    let collected = exchange.collect_while(|bytes| memory.grow(bytes)).await;
     let (response, rest) = match collected {
         Ok(Collected::Whole(response)) => (response, None),
-        Ok(Collected::Partly(response, rest)) => (response, Some(rest)),
+        Ok(Collected::Partial(response, rest)) => (response, Some(rest)),
         Err(error) => {
-            attempt::tell(job, server, number, &error.to_string());
+            attempt::log_failure(job, server, attempt, &error.to_string());
             node.record_outcome(server.key(), Outcome::Failed);
-            attempt::broken_off(node, job, server, None).await;
-            return Err(Miss::Lost);
+            attempt::handle_broken_off(node, job, server, None).await;
+            return Err(SendFailure::Lost);
         }
     };
     let status = response.status();
-    // A refusal without the server's word that it did not run promises nothing, whatever its status.
-    let promises = matches!(status.as_u16(), 408 | 421 | 429 | 503);
-    if promises || (status.is_success() && !genuine) {
-        attempt::tell(job, server, number, "the answer can't be trusted");
+    // These statuses without the header that the request did not run guarantee nothing.
+    let is_ambiguous = matches!(status.as_u16(), 408 | 421 | 429 | 503);
+    if is_ambiguous || (status.is_success() && !genuine) {
+        attempt::log_failure(job, server, attempt, "the answer can't be trusted");
         node.record_outcome(server.key(), Outcome::Failed);
-        return Err(Miss::Lost);
+        return Err(SendFailure::Lost);
     }
     let failed = status.is_server_error() && status != StatusCode::GATEWAY_TIMEOUT;
     let outcome = if failed {
@@ -349,39 +356,39 @@
     if outcome == Outcome::Sound {
         node.record_success(job.fingerprint);
     }
-    Ok(response.map(|body| Taken {
-        first: Chunk::new(body, kept),
+    Ok(response.map(|body| ServerAnswer {
+        first_chunk: Chunk::new(body, memory),
         rest,
     }))
 }
 
-/// Says whether a server's failure may be tried again elsewhere.
-fn worth_retrying(job: &Job, response: &Response<Taken>) -> bool {
+/// Returns whether a server's failure may be retried elsewhere.
+fn may_retry(job: &Job, response: &Response<ServerAnswer>) -> bool {
     job.route.kind.is_repeatable() && response.status().is_server_error()
 }
 
-/// Writes down how an answer went and makes what the caller gets.
-fn finish(node: &Rc<Node>, job: &Job, response: Response<Taken>) -> Response<Content> {
-    tell_answered(node, job, response.status());
-    let (head, taken) = response.into_parts();
-    let mut answer = Response::new(taken.content(node, job));
+/// Logs the response and builds what the caller receives.
+fn finish(node: &Rc<Node>, job: &Job, response: Response<ServerAnswer>) -> Response<Content> {
+    log_answered(node, job, response.status());
+    let (head, server_answer) = response.into_parts();
+    let mut answer = Response::new(server_answer.content(node, job));
     *answer.status_mut() = head.status;
     *answer.headers_mut() = node.translator.give_back(&head.headers);
     answer
 }
 
-fn tell_answered(node: &Node, job: &Job, status: StatusCode) {
+fn log_answered(node: &Node, job: &Job, status: StatusCode) {
     let took = clock::now().since(job.arrived());
     let in_time = took <= job.route.objective && status.is_success();
     let met = if in_time { "yes" } else { "no" };
-    node.metrics.aims.with_label_values(&[met]).inc();
-    node.metrics.first.observe(took.as_secs_f64());
-    let class = if status.is_success() {
+    node.metrics.objectives.with_label_values(&[met]).inc();
+    node.metrics.first_event.observe(took.as_secs_f64());
+    let outcome = if status.is_success() {
         "served"
     } else {
         "server_failed"
     };
-    node.metrics.answers.with_label_values(&[class]).inc();
+    node.metrics.answers.with_label_values(&[outcome]).inc();
     event::write(&Record::Answered {
         id: &job.info.id,
         status: status.as_u16(),
