--- a/crates/alderglade-serve/src/answer.rs
+++ b/crates/alderglade-serve/src/answer.rs
@@ -1,6 +1,6 @@
-//! Answers to callers: a backend server's own, or one of the product's error kinds.
+//! Responses to callers: that of a backend server, or one of the product's error kinds.
 
-use crate::body_sender::Flight;
+use crate::body_sender::ChunkGuard;
 use crate::memory::Portion;
 use alderglade_core::request::Refusal;
 use bytes::Bytes;
@@ -12,81 +12,84 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc;
 
-/// The answer ends early; the caller's connection is closed so that it doesn't look whole.
+/// The response ends early. The caller's connection is closed so that the response does not look complete.
 #[derive(Debug, Snafu)]
 #[snafu(display("the answer was broken off"))]
 pub struct BrokenOff;
 
-/// Bytes on their way to a caller.
+/// Bytes that are being sent to a caller.
 #[derive(Debug)]
 pub struct Chunk {
     bytes: Bytes,
-    /// What is given back when the caller's connection has written them.
-    held: Option<Held>,
+    /// The resource that is released when the caller's connection has written the bytes.
+    resource: Option<Resource>,
 }
 
-/// What is held for a piece.
+/// The resource that a chunk holds.
 #[derive(Debug)]
-enum Held {
-    /// The host's memory for a whole answer.
-    Memory(#[expect(dead_code, reason = "dropped with the piece")] Portion),
-    /// A piece of a stream that is under way.
-    Flight(#[expect(dead_code, reason = "dropped with the piece")] Flight),
+enum Resource {
+    /// Memory of the host for a whole response.
+    Memory(#[expect(dead_code, reason = "dropped with the chunk")] Portion),
+    /// A chunk of a stream that is in flight.
+    ChunkInFlight(#[expect(dead_code, reason = "dropped with the chunk")] ChunkGuard),
 }
 
-/// Bytes with what is held for them.
-struct Carried {
+/// Bytes with the resource that they hold.
+struct OwnedBytes {
     bytes: Bytes,
-    _held: Held,
+    _resource: Resource,
 }
 
-impl AsRef<[u8]> for Carried {
+impl AsRef<[u8]> for OwnedBytes {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
 }
 
 impl Chunk {
-    /// Makes a whole answer whose memory is given back when it is written.
-    pub fn new(bytes: Bytes, kept: Portion) -> Chunk {
+    /// Creates the chunk of a whole response, whose memory is released when it is written.
+    pub fn new(bytes: Bytes, memory: Portion) -> Chunk {
         Chunk {
             bytes,
-            held: Some(Held::Memory(kept)),
+            resource: Some(Resource::Memory(memory)),
         }
     }
 
-    /// Makes a piece of a stream.
-    pub(crate) fn under_way(bytes: Bytes, flight: Flight) -> Chunk {
+    /// Creates a chunk of a stream.
+    pub(crate) fn in_flight(bytes: Bytes, guard: ChunkGuard) -> Chunk {
         Chunk {
             bytes,
-            held: Some(Held::Flight(flight)),
+            resource: Some(Resource::ChunkInFlight(guard)),
         }
     }
 
-    /// Gives the frame that the caller's connection writes.
+    /// Converts the chunk into the frame that the caller's connection writes.
     fn into_frame(self) -> Frame<Bytes> {
-        Frame::data(match self.held {
+        Frame::data(match self.resource {
             None => self.bytes,
-            Some(held) => Bytes::from_owner(Carried {
+            Some(resource) => Bytes::from_owner(OwnedBytes {
                 bytes: self.bytes,
-                _held: held,
+                _resource: resource,
             }),
         })
     }
 }
 
 impl From<Bytes> for Chunk {
-    /// Makes a small piece, for which nothing is held.
+    /// Creates a small chunk that holds no resource.
     fn from(bytes: Bytes) -> Chunk {
-        Chunk { bytes, held: None }
+        Chunk {
+            bytes,
+            resource: None,
+        }
     }
 }
 
-/// The body of an answer.
+/// The body of a response.
 pub enum Content {
-    /// All of it is there.
+    /// The whole body; `None` after it was taken.
     Whole(Option<Chunk>),
-    /// It comes in pieces.
+    /// A body that arrives in chunks.
     Stream(mpsc::Receiver<Result<Chunk, BrokenOff>>),
 }
 
@@ -122,20 +125,20 @@
 }
 
 #[derive(Serialize)]
-struct Explanation<'a> {
+struct ErrorBody<'a> {
     error: &'a str,
     ran: &'a str,
 }
 
-/// Makes the answer that the table of error kinds holds for a refusal.
+/// Builds the response to a refusal, as the table of error kinds defines it.
 pub fn refusal(refusal: &Refusal) -> Response<Content> {
     let row = refusal.kind.row();
-    let explanation = Explanation {
+    let body = ErrorBody {
         error: row.label,
         ran: refusal.ran.label(),
     };
-    let body = serde_json::to_vec(&explanation).unwrap_or_default();
-    let mut response = Response::new(Content::Whole(Some(Bytes::from(body).into())));
+    let bytes = serde_json::to_vec(&body).unwrap_or_default();
+    let mut response = Response::new(Content::Whole(Some(Bytes::from(bytes).into())));
     *response.status_mut() =
         StatusCode::from_u16(row.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
--- a/crates/alderglade-serve/src/body.rs
+++ b/crates/alderglade-serve/src/body.rs
@@ -1,14 +1,14 @@
-//! Bodies of requests and answers, as their bytes come.
+//! Bodies of requests and responses, read as their bytes arrive.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-/// Waits for the next bytes of a body; gives `None` after the last ones.
+/// Waits for the next bytes of a body; returns `None` after the last ones.
 ///
 /// # Errors
 ///
-/// Where the body breaks off.
+/// Returns an error if the body breaks off.
 pub(crate) async fn next(body: &mut Incoming) -> Result<Option<Bytes>, hyper::Error> {
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame?.into_data() {
--- a/crates/alderglade-serve/src/body_sender.rs
+++ b/crates/alderglade-serve/src/body_sender.rs
@@ -1,8 +1,9 @@
-//! The way of an answer's pieces to a caller that may read slowly.
+//! Sends the chunks of a response to a caller that may read slowly.
 //!
-//! One piece may always be under way, so that a stream goes on however much is kept for others. More are only where the host's
-//! memory for that has room. A piece is under way until the caller's connection has written it. The way always has a place left
-//! for the word that the answer is broken off: without it an answer that ends early would look whole.
+//! One chunk may always be in flight, so that a stream continues however much memory is used for other callers. More
+//! chunks are sent only if the host's memory pool has room. A chunk is in flight until the caller's connection has
+//! written it. The channel always reserves a slot for the notification that the response is broken off: without it, a
+//! response that ends early would look complete.
 
 use crate::answer::{BrokenOff, Chunk};
 use crate::memory::{Pool, Portion};
@@ -11,65 +12,65 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::{Notify, mpsc};
 
-/// Pieces that wait for a slow caller before the server is slowed down.
-const PIECES: usize = 8;
-/// The length that a piece is expected to have, in bytes: what a connection to a server reads at once.
-const USUAL: usize = 8 * 1024;
+/// Chunks that are queued for a slow caller before the server is slowed down.
+const MAX_QUEUED_CHUNKS: usize = 8;
+/// Expected length of a chunk, in bytes: what a connection to a server reads at once.
+const EXPECTED_CHUNK_BYTES: usize = 8 * 1024;
 
 type Item = Result<Chunk, BrokenOff>;
 
-/// The pieces of one answer that are under way.
+/// The chunks of one response that are in flight.
 #[derive(Debug, Default)]
-struct Flights {
+struct ChunksInFlight {
     count: AtomicUsize,
-    /// Wakes whoever waits until there are fewer.
-    landed: Notify,
+    /// Notified when a chunk is no longer in flight.
+    written: Notify,
 }
 
-/// Counts a piece as under way until it is dropped.
+/// Counts a chunk as in flight until it is dropped.
 #[derive(Debug)]
-pub struct Flight {
-    flights: Arc<Flights>,
-    _kept: Portion,
+pub struct ChunkGuard {
+    in_flight: Arc<ChunksInFlight>,
+    _memory: Portion,
 }
 
-impl Drop for Flight {
+impl Drop for ChunkGuard {
     fn drop(&mut self) {
-        self.flights.count.fetch_sub(1, Ordering::Relaxed);
-        self.flights.landed.notify_one();
+        self.in_flight.count.fetch_sub(1, Ordering::Relaxed);
+        self.in_flight.written.notify_one();
     }
 }
 
-/// The sending end.
+/// The sending half of a response body.
 pub(crate) struct BodySender {
     chunks: mpsc::Sender<Item>,
-    flights: Arc<Flights>,
-    /// The place for the word that the answer is broken off.
-    end: Option<mpsc::OwnedPermit<Item>>,
+    in_flight: Arc<ChunksInFlight>,
+    /// The reserved slot for the notification that the response is broken off.
+    end_permit: Option<mpsc::OwnedPermit<Item>>,
     pool: Arc<Pool>,
 }
 
-/// The caller has left.
+/// The caller disconnected.
 pub(crate) struct CallerGone;
 
 impl BodySender {
-    /// Opens a way; gives its receiving end, too.
+    /// Creates the two halves of a response body.
     pub(crate) fn open(pool: &Arc<Pool>) -> (BodySender, mpsc::Receiver<Item>) {
-        let (chunks, receiver) = mpsc::channel(PIECES + 1);
+        let (chunks, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS + 1);
         let body_sender = BodySender {
-            end: chunks.clone().try_reserve_owned().ok(),
+            end_permit: chunks.clone().try_reserve_owned().ok(),
             chunks,
-            flights: Arc::default(),
+            in_flight: Arc::default(),
             pool: pool.clone(),
         };
         (body_sender, receiver)
     }
 
-    /// Waits until another piece may probably be given to the caller, or the caller has left.
+    /// Waits until another chunk can probably be sent, or the caller has disconnected.
     pub(crate) async fn writable(&self) {
         let freed = async {
-            while !self.is_empty() && self.pool.left() < USUAL {
-                self.flights.landed.notified().await;
+            while !self.is_empty() && self.pool.available() < EXPECTED_CHUNK_BYTES {
+                self.in_flight.written.notified().await;
             }
         };
         tokio::select! {
@@ -78,50 +79,50 @@
         }
     }
 
-    /// Gives a piece to the caller; waits until it may.
+    /// Sends a chunk to the caller, after waiting until memory allows it.
     ///
     /// # Errors
     ///
-    /// Where the caller has left.
+    /// Returns an error if the caller has disconnected.
     pub(crate) async fn send(&self, bytes: Bytes) -> Result<(), CallerGone> {
-        let mut kept = Portion::new(&self.pool);
-        while !self.is_empty() && !kept.grow(bytes.len()) {
+        let mut memory = Portion::new(&self.pool);
+        while !self.is_empty() && !memory.grow(bytes.len()) {
             tokio::select! {
-                () = self.flights.landed.notified() => {}
+                () = self.in_flight.written.notified() => {}
                 () = self.closed() => return Err(CallerGone),
             }
         }
-        self.flights.count.fetch_add(1, Ordering::Relaxed);
-        let flight = Flight {
-            flights: self.flights.clone(),
-            _kept: kept,
+        self.in_flight.count.fetch_add(1, Ordering::Relaxed);
+        let guard = ChunkGuard {
+            in_flight: self.in_flight.clone(),
+            _memory: memory,
         };
-        let chunk = Chunk::under_way(bytes, flight);
+        let chunk = Chunk::in_flight(bytes, guard);
         self.chunks.send(Ok(chunk)).await.map_err(|_| CallerGone)
     }
 
-    /// Gives the first piece to the caller, whose memory was taken already.
-    pub(crate) fn begin(&self, first: Chunk) {
+    /// Sends the first chunk, whose memory has already been allocated.
+    pub(crate) fn send_first(&self, first: Chunk) {
         if self.chunks.try_send(Ok(first)).is_err() {
-            log::debug!("a caller left before its answer began");
+            log::debug!("a caller disconnected before its response began");
         }
     }
 
-    /// Waits until the caller has left.
+    /// Waits until the caller has disconnected.
     pub(crate) async fn closed(&self) {
         self.chunks.closed().await;
     }
 
-    /// Tells the caller that the answer is not whole; says whether it is still there.
+    /// Marks the response as incomplete; returns whether the caller is still connected.
     pub(crate) fn break_off(&mut self) -> bool {
-        let is_there = !self.chunks.is_closed();
-        if let Some(end) = self.end.take() {
-            end.send(Err(BrokenOff));
+        let is_connected = !self.chunks.is_closed();
+        if let Some(permit) = self.end_permit.take() {
+            permit.send(Err(BrokenOff));
         }
-        is_there
+        is_connected
     }
 
     fn is_empty(&self) -> bool {
-        self.flights.count.load(Ordering::Relaxed) == 0
+        self.in_flight.count.load(Ordering::Relaxed) == 0
     }
 }
--- a/crates/alderglade-serve/src/client.rs
+++ b/crates/alderglade-serve/src/client.rs
@@ -1,7 +1,7 @@
-//! The one HTTP client: to backend servers and to the store.
+//! The HTTP client for backend servers and the store.
 //!
-//! Connections are kept while the other side allows it. An exchange that isn't finished when its
-//! handle is dropped closes its connection, so that nobody works on for a caller that has left.
+//! Connections are kept alive for as long as the other side allows. Dropping an exchange before it has finished
+//! closes its connection, so that no server continues to work for a caller that has left.
 
 use crate::body;
 use crate::clock;
@@ -22,43 +22,43 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// How long a connection may take to come up. A round trip between failure domains takes a few
-/// milliseconds; a lost first packet is sent again after a second, too late for short work.
-const CONNECT: Duration = Duration::from_millis(300);
-/// How long sent bytes may stay without an acknowledgement before the connection is given up.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_000);
-/// How long a silent connection is left alone before the other side's host is asked for a sign.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-/// The time between two such signs; the second one unanswered ends the connection.
-const PROBE_EACH: Duration = Duration::from_secs(1);
-/// How long a connection at rest is kept where the other side doesn't say.
-const REST: Duration = Duration::from_millis(2_500);
-/// How much sooner than the other side says a resting connection is given up.
-const REST_MARGIN: Duration = Duration::from_millis(800);
-/// The most bytes that a connection reads ahead of whoever takes its answer.
-const BUFFER: usize = 8 * 1024;
-/// The most bytes of an answer that is taken as a whole.
-const MOST_BYTES: usize = 16 * 1024 * 1024;
+/// Timeout for opening a connection. A round trip between failure domains takes a few milliseconds. A lost first
+/// packet is retransmitted after a second, too late for short requests.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long sent bytes may remain unacknowledged before the connection is closed.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// How long a connection may be silent before the first TCP keepalive probe.
+const KEEPALIVE_DELAY: Duration = Duration::from_secs(1);
+/// Interval between keepalive probes; the connection ends when two remain unanswered.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// How long an idle connection is kept if the other side does not state a timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// How much earlier than the other side's stated timeout an idle connection is closed.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(800);
+/// Maximum number of bytes that a connection reads ahead of the consumer of its response.
+const MAX_READ_AHEAD_BYTES: usize = 8 * 1024;
+/// Maximum length of a response that is buffered as a whole, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// Why an exchange failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// No connection came up; nothing was sent.
+    /// The connection could not be opened; nothing was sent.
     #[snafu(display("no connection: {reason}"))]
     Unreachable {
         /// What was seen.
         reason: String,
     },
-    /// The machine at the address says that nobody listens there; nothing was sent.
+    /// The machine at the address refused the connection; nothing was sent.
     #[snafu(display("no connection: {reason}"))]
     Closed {
         /// What was seen.
         reason: String,
     },
-    /// A kept connection was closed before anything was sent on it.
+    /// An idle connection was closed before anything was sent on it.
     #[snafu(display("the connection closed before the request was sent"))]
     NotSent,
-    /// Contact was lost after the request, or a part of it, was sent.
+    /// The connection was lost after the request, or a part of it, was sent.
     #[snafu(display("contact lost: {reason}"))]
     Lost {
         /// What was seen.
@@ -66,46 +66,46 @@
     },
 }
 
-/// A connection that is up.
-struct Link {
+/// An open connection.
+struct OpenConnection {
     sender: http1::SendRequest<Full<Bytes>>,
     /// The task that runs it.
     task: AbortHandle,
 }
 
-/// A connection at rest.
-struct Idle {
-    link: Link,
-    /// When it has rested for as long as it may.
+/// An idle connection.
+struct IdleConnection {
+    link: OpenConnection,
+    /// When the idle timeout expires.
     until: Time,
 }
 
-/// Why the head of an answer didn't come.
-struct Failure {
+/// Why no response head arrived.
+struct ExchangeFailure {
     error: Error,
-    /// The request, where nothing of it was sent.
+    /// The request, if nothing of it was sent.
     unsent: Option<Request<Full<Bytes>>>,
 }
 
-/// Kept connections by address.
+/// An HTTP client with its idle connections by address.
 #[derive(Default)]
 pub struct Client {
-    idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
     opened: Cell<u64>,
 }
 
-/// A connection in use; dropped before it is recycled, it is closed.
+/// A connection in use. It is closed if it is dropped before it is recycled.
 pub struct Connection {
     client: Rc<Client>,
     address: SocketAddr,
     sender: Option<http1::SendRequest<Full<Bytes>>>,
-    /// The task that runs the connection, until it is kept for another request.
+    /// The task that runs the connection, until it becomes idle.
     task: Option<AbortHandle>,
-    rest: Duration,
+    idle_timeout: Duration,
     reusable: bool,
 }
 
-/// The head of an answer, with the rest still to come.
+/// A response whose head has arrived, and whose body is still to come.
 pub struct Exchange {
     /// Status and headers.
     pub head: http::response::Parts,
@@ -116,17 +116,17 @@
 }
 
 impl Client {
-    /// Gives the number of connections opened so far.
+    /// Returns the number of connections opened so far.
     pub fn opened(&self) -> u64 {
         self.opened.get()
     }
 
-    /// Sends a request and waits for the head of the answer. With `fresh`, no kept connection is
-    /// used: one that breaks as a request is sent leaves it unknown whether the request ran.
+    /// Sends a request and waits for the head of the response. With `fresh`, no idle connection is used: if such a
+    /// connection breaks while a request is sent, it is unknown whether the request ran.
     ///
     /// # Errors
     ///
-    /// Where there is no connection, or it breaks before the head has come.
+    /// Returns an error if no connection can be opened, or if it breaks before the head has arrived.
     pub async fn send(
         self: &Rc<Client>,
         address: SocketAddr,
@@ -134,8 +134,8 @@
         fresh: bool,
     ) -> Result<Exchange, Error> {
         let mut request = request;
-        if !fresh && let Some(kept) = self.take(address) {
-            let failure = match self.exchange(address, kept, request).await {
+        if !fresh && let Some(idle_connection) = self.take_idle(address) {
+            let failure = match self.exchange(address, idle_connection, request).await {
                 Ok(exchange) => return Ok(exchange),
                 Err(failure) => failure,
             };
@@ -146,45 +146,45 @@
         result.map_err(|failure| failure.error)
     }
 
-    /// Closes the connections that have rested for as long as they may.
+    /// Closes the connections whose idle timeout has expired.
     pub fn expire(&self) {
         let now = clock::now();
         self.idle.borrow_mut().retain(|_, list| {
             list.retain(|entry| {
-                let fresh = entry.until > now;
-                if !fresh {
+                let unexpired = entry.until > now;
+                if !unexpired {
                     entry.link.task.abort();
                 }
-                fresh
+                unexpired
             });
             !list.is_empty()
         });
     }
 
-    /// Gives the number of connections at rest.
-    pub fn resting(&self) -> usize {
+    /// Returns the number of idle connections.
+    pub fn idle_count(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
-    /// Sends a request on a connection and waits for the head of the answer.
+    /// Sends a request on a connection and waits for the head of the response.
     async fn exchange(
         self: &Rc<Client>,
         address: SocketAddr,
-        link: Link,
+        link: OpenConnection,
         request: Request<Full<Bytes>>,
-    ) -> Result<Exchange, Failure> {
-        let Link { mut sender, task } = link;
+    ) -> Result<Exchange, ExchangeFailure> {
+        let OpenConnection { mut sender, task } = link;
         let mut connection = Connection {
             client: self.clone(),
             address,
             sender: None,
             task: Some(task),
-            rest: REST,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
             reusable: false,
         };
         if let Err(error) = sender.ready().await {
-            log::debug!("connection to {address} closed at rest: {error}");
-            return Err(Failure {
+            log::debug!("idle connection to {address} was closed: {error}");
+            return Err(ExchangeFailure {
                 error: Error::NotSent,
                 unsent: Some(request),
             });
@@ -198,12 +198,12 @@
                     Some(_) => Error::NotSent,
                     None => Error::Lost { reason },
                 };
-                return Err(Failure { error, unsent });
+                return Err(ExchangeFailure { error, unsent });
             }
         };
         let (head, body) = response.into_parts();
-        connection.reusable = !says_close(&head.headers);
-        connection.rest = rest_time(&head.headers);
+        connection.reusable = !has_close_option(&head.headers);
+        connection.idle_timeout = idle_timeout(&head.headers);
         connection.sender = Some(sender);
         Ok(Exchange {
             head,
@@ -212,12 +212,12 @@
         })
     }
 
-    /// Says whether somebody listens at an address, by a connection that is kept for the next request; `None` where
-    /// that can't be told.
+    /// Returns whether a server listens at an address, or `None` if that is unknown. A connection opened for this is
+    /// kept for the next request.
     pub async fn listens(self: &Rc<Client>, address: SocketAddr) -> Option<bool> {
         match self.connect(address).await {
             Ok(link) => {
-                self.keep(address, link, REST);
+                self.keep_idle(address, link, DEFAULT_IDLE_TIMEOUT);
                 Some(true)
             }
             Err(Error::Closed { .. }) => Some(false),
@@ -225,24 +225,24 @@
         }
     }
 
-    /// Keeps a connection for another request, for as long as it may rest.
-    fn keep(&self, address: SocketAddr, link: Link, rest: Duration) {
-        let entry = Idle {
+    /// Keeps an idle connection until its timeout expires.
+    fn keep_idle(&self, address: SocketAddr, link: OpenConnection, idle_timeout: Duration) {
+        let entry = IdleConnection {
             link,
-            until: clock::now() + rest,
+            until: clock::now() + idle_timeout,
         };
         let mut idle = self.idle.borrow_mut();
         idle.entry(address).or_default().push(entry);
     }
 
-    /// Closes the connections at rest to an address.
+    /// Closes the idle connections to an address.
     pub fn forget(&self, address: SocketAddr) {
         let entries = self.idle.borrow_mut().remove(&address).unwrap_or_default();
         entries.iter().for_each(|entry| entry.link.task.abort());
     }
 
-    /// Takes a connection at rest that is still good, and closes those before it that aren't.
-    fn take(&self, address: SocketAddr) -> Option<Link> {
+    /// Takes an idle connection that is still usable, and closes unusable ones found before it.
+    fn take_idle(&self, address: SocketAddr) -> Option<OpenConnection> {
         let now = clock::now();
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(&address)?;
@@ -256,21 +256,21 @@
     }
 
     /// Opens a connection.
-    async fn connect(&self, address: SocketAddr) -> Result<Link, Error> {
+    async fn connect(&self, address: SocketAddr) -> Result<OpenConnection, Error> {
         let unreachable = |reason: String| Error::Unreachable { reason };
-        let stream = clock::timeout(CONNECT, TcpStream::connect(address))
+        let stream = clock::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
             .await
-            .map_err(|_| unreachable(format!("none within {} ms", CONNECT.as_millis())))?
+            .map_err(|_| unreachable(format!("none within {} ms", CONNECT_TIMEOUT.as_millis())))?
             .map_err(|error| match error.kind() {
                 ErrorKind::ConnectionRefused => Error::Closed {
                     reason: error.to_string(),
                 },
                 _ => unreachable(error.to_string()),
             })?;
-        tune(&stream);
+        set_socket_options(&stream);
         self.opened.set(self.opened.get() + 1);
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(BUFFER)
+            .max_buf_size(MAX_READ_AHEAD_BYTES)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(|error| unreachable(error.to_string()))?;
@@ -279,7 +279,7 @@
                 log::debug!("connection to {address}: {error}");
             }
         });
-        Ok(Link {
+        Ok(OpenConnection {
             sender,
             task: task.abort_handle(),
         })
@@ -295,12 +295,13 @@
         let (Some(mut sender), Some(task)) = (self.sender.take(), self.task.take()) else {
             return;
         };
-        let (client, address, rest) = (self.client.clone(), self.address, self.rest);
+        let (client, address, idle_timeout) =
+            (self.client.clone(), self.address, self.idle_timeout);
         tokio::task::spawn_local(async move {
             if sender.ready().await.is_err() {
                 return;
             }
-            client.keep(address, Link { sender, task }, rest);
+            client.keep_idle(address, OpenConnection { sender, task }, idle_timeout);
         });
     }
 }
@@ -314,18 +315,18 @@
 }
 
 impl Exchange {
-    /// Takes the rest of the answer as a whole.
+    /// Reads the rest of the response.
     ///
     /// # Errors
     ///
-    /// Where the answer breaks off or is too long.
+    /// Returns an error if the response breaks off or is too long.
     pub async fn collect(self) -> Result<Response<Bytes>, Error> {
         let mut length = 0;
-        let within_bound = |bytes| {
+        let within_limit = |bytes| {
             length += bytes;
-            length <= MOST_BYTES
+            length <= MAX_RESPONSE_BYTES
         };
-        match self.collect_while(within_bound).await? {
+        match self.collect_while(within_limit).await? {
             Collected::Whole(response) => Ok(response),
             Collected::Partial(..) => Err(Error::Lost {
                 reason: "the answer is too long".to_string(),
@@ -333,54 +334,55 @@
         }
     }
 
-    /// Takes the rest of the answer as a whole, or as much of it as `grow` has room for.
+    /// Reads the rest of the response until `grow` returns `false`. `grow` is called with the length of each piece
+    /// that was read.
     ///
     /// # Errors
     ///
-    /// Where the answer breaks off.
+    /// Returns an error if the response breaks off.
     pub async fn collect_while(
         self,
         mut grow: impl FnMut(usize) -> bool,
     ) -> Result<Collected, Error> {
-        let mut rest = Rest {
+        let mut remaining = RemainingBody {
             body: self.body,
             connection: self.connection,
         };
         let mut collected = BytesMut::new();
-        while let Some(data) = rest.next().await? {
+        while let Some(data) = remaining.next().await? {
             collected.extend_from_slice(&data);
             if !grow(data.len()) {
                 let response = Response::from_parts(self.head, collected.freeze());
-                return Ok(Collected::Partial(response, rest));
+                return Ok(Collected::Partial(response, remaining));
             }
         }
-        rest.connection.recycle();
+        remaining.connection.recycle();
         let response = Response::from_parts(self.head, collected.freeze());
         Ok(Collected::Whole(response))
     }
 }
 
-/// What was taken of an answer.
+/// A response that was read completely or in part.
 pub enum Collected {
-    /// All of it.
+    /// The whole response.
     Whole(Response<Bytes>),
-    /// Its beginning, with what is still to come.
-    Partial(Response<Bytes>, Rest),
+    /// The beginning of the response, and the rest that is still to be read.
+    Partial(Response<Bytes>, RemainingBody),
 }
 
-/// The part of an answer that is still to come.
-pub struct Rest {
+/// The part of a response that is still to be read.
+pub struct RemainingBody {
     body: Incoming,
     /// The connection, to be recycled after the last byte.
     pub connection: Connection,
 }
 
-impl Rest {
-    /// Waits for the next bytes; gives `None` after the last ones.
+impl RemainingBody {
+    /// Waits for the next bytes; returns `None` after the last ones.
     ///
     /// # Errors
     ///
-    /// Where the answer breaks off.
+    /// Returns an error if the response breaks off.
     pub async fn next(&mut self) -> Result<Option<Bytes>, Error> {
         let next = body::next(&mut self.body).await;
         next.map_err(|error| Error::Lost {
@@ -389,24 +391,24 @@
     }
 }
 
-/// Sets the socket so that a silent peer is noticed in seconds.
-fn tune(stream: &TcpStream) {
+/// Sets socket options so that a silent peer is detected within seconds.
+fn set_socket_options(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
     let keepalive = socket2::TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_EACH)
+        .with_time(KEEPALIVE_DELAY)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(2);
     let results = [
         socket.set_tcp_nodelay(true),
-        socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED)),
+        socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)),
         socket.set_tcp_keepalive(&keepalive),
     ];
     for error in results.into_iter().filter_map(Result::err) {
-        log::debug!("socket option refused: {error}");
+        log::debug!("cannot set a socket option: {error}");
     }
 }
 
-fn says_close(head: &HeaderMap) -> bool {
+fn has_close_option(head: &HeaderMap) -> bool {
     let values = head.get_all(http::header::CONNECTION);
     values
         .iter()
@@ -414,9 +416,9 @@
         .any(|value| value.to_ascii_lowercase().contains("close"))
 }
 
-/// Gives how long a connection may rest, from the `Keep-Alive` header if there is one.
-fn rest_time(head: &HeaderMap) -> Duration {
-    let stated = head
+/// Returns how long a connection may stay idle, from the `Keep-Alive` header if there is one.
+fn idle_timeout(head: &HeaderMap) -> Duration {
+    let stated_seconds = head
         .get("keep-alive")
         .and_then(|value| value.to_str().ok())
         .and_then(|text| {
@@ -424,8 +426,8 @@
                 .find_map(|part| part.trim().strip_prefix("timeout="))
         })
         .and_then(|seconds| seconds.parse::<u64>().ok());
-    match stated {
-        Some(seconds) => Duration::from_secs(seconds).saturating_sub(REST_MARGIN),
-        None => REST,
+    match stated_seconds {
+        Some(seconds) => Duration::from_secs(seconds).saturating_sub(IDLE_TIMEOUT_MARGIN),
+        None => DEFAULT_IDLE_TIMEOUT,
     }
 }
--- a/crates/alderglade-serve/src/event.rs
+++ b/crates/alderglade-serve/src/event.rs
@@ -1,8 +1,8 @@
 //! Structured log lines on standard output: one JSON object for each decision.
 //!
-//! Lines are numbered events; `docs/LOG-EVENTS.md` is their catalogue. Writing never blocks traffic:
-//! lines go through a bounded queue to a thread of their own, and lines over the budget of a second
-//! are counted and told instead of written.
+//! Lines are numbered events; `docs/LOG-EVENTS.md` is their catalogue. Logging never blocks traffic: lines pass
+//! through a bounded queue to a separate thread. Lines beyond the limit per second are counted, and the count is
+//! logged in their place.
 
 mod kind;
 mod queue;
@@ -19,7 +19,7 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 
-/// A record with what each line begins with.
+/// A record with the fields that each line begins with.
 #[derive(Serialize)]
 struct Line<'a> {
     at_ms: u64,
@@ -30,7 +30,7 @@
     record: &'a Record<'a>,
 }
 
-/// Writes a record. Its time is that of the process's steady clock.
+/// Logs a record with the time of the process's monotonic clock.
 pub fn write(record: &Record<'_>) {
     let level = record.kind().level;
     if !log::log_enabled!(level) {
@@ -38,11 +38,11 @@
     }
     match line(record, crate::clock::now().as_millis()) {
         Ok(line) => log::log!(level, "{line}"),
-        Err(error) => log::error!("a log line can't be written: {error}"),
+        Err(error) => log::error!("cannot serialize a log line: {error}"),
     }
 }
 
-/// Gives the text of a record's line.
+/// Returns the line of a record as JSON.
 fn line(record: &Record<'_>, at_ms: u64) -> serde_json::Result<String> {
     let kind = record.kind();
     serde_json::to_string(&Line {
@@ -54,22 +54,22 @@
     })
 }
 
-/// Why logging can't be set up.
+/// Why logging cannot be set up.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The configuration doesn't fit together.
+    /// The logging configuration is inconsistent.
     #[snafu(display("can't set the log up"))]
     Config {
         /// The cause.
         source: log4rs::config::runtime::ConfigErrors,
     },
-    /// Another logger is there already.
+    /// Another logger is already installed.
     #[snafu(display("a log is set up already"))]
     Taken {
         /// The cause.
         source: log::SetLoggerError,
     },
-    /// The thread that writes can't be started.
+    /// The writer thread cannot be started.
     #[snafu(display("can't start the thread that writes the log"))]
     Thread {
         /// The cause.
@@ -77,7 +77,7 @@
     },
 }
 
-/// The log of the process; dropped at its end, when the last lines are written.
+/// The log of the process. Dropping it waits until the last lines are written.
 #[must_use = "dropped at once, it waits for nothing"]
 pub struct Log {
     pending: Pending,
@@ -85,10 +85,10 @@
 
 impl Drop for Log {
     fn drop(&mut self) {
-        /// How long the end of the process may wait for its last lines. A reader that takes none must not
-        /// hold it up.
-        const LAST_LINES: Duration = Duration::from_millis(200);
-        self.pending.wait(LAST_LINES);
+        /// How long the exit of the process may wait for its last lines. A reader that stopped reading must not delay
+        /// it.
+        const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+        self.pending.wait(FLUSH_TIMEOUT);
     }
 }
 
@@ -96,7 +96,7 @@
 ///
 /// # Errors
 ///
-/// Where a logger is there already or the writing thread can't be started.
+/// Returns an error if a logger is already installed or the writer thread cannot be started.
 pub fn start(level: log::LevelFilter) -> Result<Log, Error> {
     let (queue, lines) = Queue::new();
     let pending = queue.pending();
@@ -114,12 +114,12 @@
     Ok(Log { pending })
 }
 
-/// Writes lines until the queue is closed. A line that can't be written is lost: there is no other
-/// place to tell it.
+/// Writes lines until the queue is closed. A line that cannot be written is lost: there is no other place to report
+/// it.
 fn write_lines(lines: &Receiver<String>, pending: &Pending) {
     let mut out = std::io::stdout();
     while let Ok(line) = lines.recv() {
         let _ = writeln!(out, "{line}");
-        pending.written();
+        pending.mark_written();
     }
 }
--- a/crates/alderglade-serve/src/event/kind.rs
+++ b/crates/alderglade-serve/src/event/kind.rs
@@ -1,13 +1,13 @@
-//! The kinds of log lines, as `docs/LOG-EVENTS.md` lists them.
+//! The kinds of log lines; `docs/LOG-EVENTS.md` lists them.
 
 /// One kind of log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Kind {
-    /// The number, never used for another kind.
+    /// The number of the kind, which is never reused for another kind.
     pub number: u16,
-    /// How grave it is.
+    /// The log level.
     pub level: log::Level,
-    /// The name in the log.
+    /// The name of the event in the log.
     pub name: &'static str,
 }
 
@@ -27,99 +27,99 @@
     }
 }
 
-/// The process serves.
+/// The process has started to serve.
 pub(super) const STARTED: Kind = info(3001, "started");
 /// The process was asked to stop.
 pub(super) const STOPPING: Kind = info(3002, "stopping");
-/// The process ends.
+/// The process is about to exit.
 pub(super) const STOPPED: Kind = info(3003, "stopped");
-/// The settings were read again.
+/// The settings were reloaded.
 pub(super) const RELOADED: Kind = info(3004, "reloaded");
-/// Lines were left out.
+/// Log lines were dropped.
 pub(super) const LINES_DROPPED: Kind = warn(3005, "lines_dropped");
 /// The host was suspended.
 pub(super) const SUSPENDED: Kind = warn(3006, "suspended");
 /// A newer configuration is in force.
 pub(super) const CONFIG_IN_FORCE: Kind = info(3101, "config_in_force");
-/// A configuration could not be read and is passed over.
+/// A configuration could not be parsed and is ignored.
 pub(super) const CONFIG_UNREADABLE: Kind = warn(3102, "config_unreadable");
 /// The list of backend servers changed.
 pub(super) const SERVERS_CHANGED: Kind = info(3103, "servers_changed");
-/// A backend server refuses work, by another one's word.
+/// A backend server refuses work, as another server reports.
 pub(super) const SERVER_REFUSING: Kind = info(3104, "server_refusing");
-/// A backend server says that it is slow.
+/// A backend server reports that it is slow.
 pub(super) const SERVER_SLOW: Kind = warn(3105, "server_slow");
-/// A backend server has started again under its id.
+/// A backend server has restarted under the same id.
 pub(super) const SERVER_RESTARTED: Kind = info(3106, "server_restarted");
-/// An entry of the store can't be read.
+/// An entry of the store cannot be parsed.
 pub(super) const ENTRY_UNREADABLE: Kind = warn(3107, "entry_unreadable");
-/// An entry that couldn't be read can be read again, or is gone.
+/// An entry that could not be parsed is valid again, or gone.
 pub(super) const ENTRY_MENDED: Kind = info(3108, "entry_mended");
-/// A backend server says in an answer that it leaves.
+/// A backend server states in a response that it is leaving.
 pub(super) const SERVER_LEAVES: Kind = info(3109, "server_leaves");
-/// A backend server wants nothing from this host for a while.
+/// A backend server asks this host to back off for a while.
 pub(super) const SERVER_BACKOFF: Kind = info(3110, "server_backoff");
-/// A backend server says how many requests a second it takes, or no more.
+/// A backend server has stated a rate limit, or withdrawn it.
 pub(super) const SERVER_LIMIT: Kind = info(3111, "server_limit");
 /// A backend server is cold.
 pub(super) const SERVER_COLD: Kind = info(3112, "server_cold");
-/// Failure domains are evacuated, or no longer.
+/// The set of evacuated failure domains has changed.
 pub(super) const EVACUATED: Kind = info(3113, "evacuated");
-/// The hosts are divided into another number of groups.
+/// The number of groups that the hosts are divided into has changed.
 pub(super) const GROUPED: Kind = info(3114, "grouped");
-/// The store gives no answer.
+/// The store does not respond.
 pub(super) const STORE_LOST: Kind = warn(3201, "store_lost");
-/// The store answers again.
+/// The store responds again.
 pub(super) const STORE_BACK: Kind = info(3202, "store_back");
-/// The host begins or ends to watch the store for others.
+/// The host starts or stops watching the store on behalf of others.
 pub(super) const STORE_ROLE: Kind = info(3203, "store_role");
-/// The host counts as cut off from the store, or no longer does.
+/// The host is considered disconnected from the store, or no longer is.
 pub(super) const STORE_REACH: Kind = info(3204, "store_reach");
-/// The store has come back from a copy.
+/// The store was restored from a copy.
 pub(super) const STORE_RESTORED: Kind = warn(3205, "store_restored");
-/// The servers were listed anew after that.
+/// The servers were listed again after the store was restored.
 pub(super) const SERVERS_RESTORED: Kind = info(3206, "servers_restored");
-/// The host's own entry was missing in the store and is written again.
+/// The host's own entry was missing in the store and is rewritten.
 pub(super) const WRITTEN_AGAIN: Kind = info(3207, "entry_written_again");
-/// The configuration was taken from another host.
+/// The configuration was copied from another host.
 pub(super) const CONFIG_COPIED: Kind = info(3208, "config_copied");
-/// Another entry host came, or came back.
+/// Another entry host joined or returned.
 pub(super) const PEER_JOINED: Kind = info(3301, "peer_joined");
-/// Another entry host is silent; what it held lapses.
+/// Another entry host is silent; its reservations expire.
 pub(super) const PEER_LOST: Kind = warn(3302, "peer_lost");
-/// Something could not be sent or read between hosts.
+/// A message between hosts could not be sent or parsed.
 pub(super) const PEER_FAULT: Kind = warn(3303, "peer_fault");
-/// A listener could not take a connection.
+/// A listener could not accept a connection.
 pub(super) const LISTEN_FAULT: Kind = warn(3304, "listen_fault");
-/// A request goes to a backend server.
+/// A request is sent to a backend server.
 pub(super) const PLACED: Kind = info(3401, "placed");
-/// A try failed.
+/// An attempt failed.
 pub(super) const ATTEMPT_FAILED: Kind = warn(3402, "attempt_failed");
 /// A request was answered by a backend server.
 pub(super) const ANSWERED: Kind = info(3403, "answered");
-/// A request was answered with an error kind of the product.
+/// A request was answered with one of the product's error kinds.
 pub(super) const REFUSED: Kind = info(3404, "refused");
 /// A stream was broken off before its end.
 pub(super) const BROKEN_OFF: Kind = warn(3405, "broken_off");
-/// The caller left before its answer was whole.
+/// The caller disconnected before its response was complete.
 pub(super) const CALLER_LEFT: Kind = info(3406, "caller_left");
 /// A prompt is held back for now.
 pub(super) const HELD: Kind = info(3407, "held");
-/// The end of a stop cuts a request off.
+/// A request is cut off because the host stops.
 pub(super) const CUT_OFF: Kind = warn(3408, "cut_off");
-/// No host asked had budget left for a repeated send.
+/// No host had budget left for a retry.
 pub(super) const REPEAT_REFUSED: Kind = info(3409, "repeat_refused");
-/// A server broke a request off, and was looked at.
+/// A server broke a request off and was checked.
 pub(super) const SERVER_BROKE_OFF: Kind = info(3410, "server_broke_off");
-/// A request is sent to no server any more.
+/// A request is quarantined: it is sent to no server.
 pub(super) const QUARANTINED: Kind = warn(3411, "quarantined");
-/// A request may be sent to servers again.
+/// A request is released from quarantine.
 pub(super) const QUARANTINE_RELEASED: Kind = info(3412, "quarantine_released");
-/// The store could not be told what was decided on a request.
+/// A quarantine decision could not be written to the store.
 pub(super) const QUARANTINE_NOT_KEPT: Kind = warn(3413, "quarantine_not_kept");
-/// Memory could not be set aside for a prompt.
+/// Memory could not be reserved for a prompt.
 pub(super) const MEMORY_REFUSED: Kind = info(3501, "memory_refused");
-/// Memory was not given back; it lapses by itself.
+/// Reserved memory was not released; it expires by itself.
 pub(super) const MEMORY_NOT_RELEASED: Kind = warn(3502, "memory_not_released");
 
 /// All kinds, in the order of their numbers.
--- a/crates/alderglade-serve/src/event/record.rs
+++ b/crates/alderglade-serve/src/event/record.rs
@@ -1,4 +1,4 @@
-//! What each log line says beside its number, level and name.
+//! The fields of each log line apart from its number, level and name.
 
 use super::kind::{self, Kind};
 use crate::daemon::Addresses;
@@ -12,28 +12,28 @@
 #[derive(Debug, Serialize)]
 #[serde(untagged)]
 pub enum Record<'a> {
-    /// The process serves.
+    /// The process has started to serve.
     Started {
-        /// The host.
+        /// The name of the host.
         host: &'a str,
-        /// Its failure domain.
+        /// The failure domain of the host.
         domain: &'a str,
-        /// Where it listens.
+        /// The addresses on which it listens.
         #[serde(flatten)]
         addresses: Addresses,
     },
     /// The process was asked to stop.
     Stopping {
-        /// Requests that are still answered.
+        /// Requests that are still in progress.
         in_flight: usize,
     },
-    /// The process ends.
+    /// The process is about to exit.
     Stopped {
         /// Requests that were cut off.
         cut_off: usize,
-        /// Requests among them for which there is no line.
+        /// Requests among them that have no log line of their own.
         untold: usize,
-        /// Requests that came after the request to stop.
+        /// Requests that arrived after the stop request.
         taken_stopping: u64,
         /// Connections of callers that are still open.
         connections: usize,
@@ -41,156 +41,156 @@
         #[serde(skip_serializing_if = "Option::is_none")]
         stopping_ms: Option<u64>,
     },
-    /// The settings were read again.
+    /// The settings were reloaded.
     Reloaded {
-        /// What came of it.
+        /// The result of the reload.
         outcome: &'a str,
     },
     /// The host was suspended.
     Suspended {
-        /// For how long, in milliseconds.
+        /// The duration, in milliseconds.
         span_ms: u64,
     },
     /// A newer configuration is in force.
     ConfigInForce {
-        /// Its version.
+        /// The version of the configuration.
         version: u64,
-        /// The version before.
+        /// The previous version, if there was one.
         before: Option<u64>,
     },
-    /// A configuration could not be read and is passed over.
+    /// A configuration could not be parsed and is ignored.
     ConfigUnreadable {
-        /// What is wrong.
+        /// The reason.
         problem: &'a str,
     },
     /// The list of backend servers changed.
     ServersChanged {
-        /// Servers known now.
+        /// The number of known servers.
         known: usize,
         /// Servers among them that are leaving.
         leaving: usize,
     },
-    /// A backend server refuses work, by another one's word.
+    /// A backend server refuses work, as another server reports.
     ServerRefusing {
         /// The server that refuses.
         server: &'a str,
-        /// The server that says so.
+        /// The server that reports it.
         by: &'a str,
     },
-    /// A backend server says that it is slow.
+    /// A backend server reports that it is slow.
     ServerSlow {
         /// The server.
         server: &'a str,
-        /// How many times the stated times it takes.
+        /// The ratio of its actual to its stated times.
         slowdown: f64,
     },
-    /// A backend server has started again under its id.
+    /// A backend server has restarted under the same id.
     ServerRestarted {
         /// The server.
         server: &'a str,
-        /// When the new lifetime began, in Unix milliseconds.
+        /// When the new incarnation started, in Unix milliseconds.
         born_ms: Option<u64>,
-        /// When the one that is over began, in Unix milliseconds.
+        /// When the former incarnation started, in Unix milliseconds.
         former_born_ms: Option<u64>,
     },
-    /// A backend server says in an answer that it leaves.
+    /// A backend server states in a response that it is leaving.
     ServerLeaves {
         /// The server.
         server: &'a str,
     },
-    /// A backend server wants nothing from this host for a while.
+    /// A backend server asks this host to back off for a while.
     ServerBackoff {
         /// The server.
         server: &'a str,
-        /// For how long.
+        /// The duration, in milliseconds.
         for_ms: u64,
     },
-    /// A backend server says how many requests a second it takes from all hosts.
+    /// A backend server has stated a rate limit on requests from all hosts, or withdrawn it.
     ServerLimit {
         /// The server.
         server: &'a str,
-        /// The requests; missing where it names no limit any more.
+        /// Requests per second; `None` if it no longer states a limit.
         per_second: Option<f64>,
     },
-    /// A backend server is cold, and gets no more than it bears.
+    /// A backend server is cold, and receives no more requests than it tolerates.
     ServerCold {
         /// The server.
         server: &'a str,
-        /// For how long, in milliseconds.
+        /// The duration, in milliseconds.
         for_ms: u64,
     },
-    /// Which failure domains are evacuated has changed.
+    /// The set of evacuated failure domains has changed.
     Evacuated {
-        /// Those that are.
+        /// The failure domains that are evacuated.
         domains: &'a BTreeSet<Name>,
     },
-    /// The hosts are divided into another number of groups.
+    /// The number of groups that the hosts are divided into has changed.
     Grouped {
-        /// How many there are.
+        /// The total number.
         groups: u32,
-        /// The hosts that are listed of the own group, itself among them.
+        /// The known hosts of the own group, including this one.
         hosts: usize,
-        /// The servers of the own group.
+        /// The number of servers of the own group.
         servers: usize,
     },
-    /// An entry of the store can't be read; it is passed over.
+    /// An entry of the store cannot be parsed and is ignored.
     EntryUnreadable {
-        /// What it is of: `servers`, `hosts`, `quarantine` or `evacuations`.
+        /// The object that holds it: `servers`, `hosts`, `quarantine` or `evacuations`.
         of: &'a str,
-        /// Its name; a digest of its text where that can't be read either.
+        /// The name of the entry, or a digest of its text if the name cannot be parsed either.
         name: &'a str,
-        /// What is wrong.
+        /// The reason.
         problem: &'a str,
     },
-    /// An entry that couldn't be read can be read again, or is gone.
+    /// An entry that could not be parsed is valid again, or gone.
     EntryMended {
-        /// What it is of: `servers` or `hosts`.
+        /// The object that holds it: `servers` or `hosts`.
         of: &'a str,
-        /// Its name.
+        /// The name of the entry.
         name: &'a str,
     },
-    /// The store gives no answer.
+    /// The store does not respond.
     StoreLost {
-        /// What was seen.
+        /// The error that was observed.
         problem: &'a str,
     },
-    /// The store answers again.
+    /// The store responds again.
     StoreBack {
-        /// How old the last word of the store was, in milliseconds.
+        /// The age of the latest data from the store, in milliseconds.
         age_ms: u64,
     },
-    /// The host begins or ends to watch the store for others.
+    /// The host starts or stops watching the store on behalf of others.
     StoreRole {
-        /// The role: `watcher` or `follower`.
+        /// The new role: `watcher` or `follower`.
         role: &'a str,
-        /// Hosts of the own failure domain heard of lately.
+        /// Live hosts of the own failure domain.
         heard: usize,
-        /// Hosts among them that watch and are in contact.
+        /// Hosts among them that watch the store and are connected to it.
         watchers: usize,
-        /// The age of the host's word of the store, in milliseconds.
+        /// The age of the host's store data, in milliseconds.
         store_age_ms: Option<u64>,
     },
-    /// The host counts as cut off from the store, or no longer does.
+    /// The host is considered disconnected from the store, or no longer is.
     StoreReach {
-        /// Whether it counts as cut off, and so asks for no new connections.
+        /// Whether it is considered disconnected, and therefore not ready for new connections.
         cut_off: bool,
-        /// Whether its last own call to the store has failed.
+        /// Whether its own latest call to the store failed.
         refused: bool,
-        /// Whether it asks the store itself, or hears a host that does and is answered.
+        /// Whether it queries the store itself, or receives notices from a host that does so successfully.
         informed: bool,
-        /// Whether it hears nobody of any other failure domain.
+        /// Whether it receives no notices from any other failure domain.
         isolated: bool,
-        /// The age of the host's word of the store, in milliseconds.
+        /// The age of the host's store data, in milliseconds.
         store_age_ms: Option<u64>,
     },
-    /// The store has come back from a copy: what was written since is gone.
+    /// The store was restored from a copy: whatever was written after the copy is lost.
     StoreRestored {
-        /// Its era.
+        /// The new era of the store.
         era: u64,
-        /// The era before, as far as the host knew.
+        /// The previous era, as far as the host knew it.
         former_era: u64,
     },
-    /// The servers were listed anew after that.
+    /// The servers were listed again after the store was restored.
     ServersRestored {
         /// The store's era.
         era: u64,
@@ -198,105 +198,105 @@
         revision: u64,
         /// The revision of the former era up to which the servers were known.
         former_revision: u64,
-        /// Servers that are missing, and used for a while all the same.
+        /// Servers that are missing from the list, and are used for a while nevertheless.
         missing: usize,
-        /// Servers that had gone and stand there again, and are not used for a while.
+        /// Servers that had been removed and are listed again, and are not used for a while.
         held_back: usize,
     },
-    /// The host's own entry was missing in the store and is written again.
+    /// The host's own entry was missing in the store and is rewritten.
     WrittenAgain {
-        /// The host.
+        /// The name of the host.
         name: &'a str,
     },
-    /// The configuration was taken from another host, since the store didn't give it.
+    /// The configuration was copied from another host because the store did not provide it.
     ConfigCopied {
-        /// Its version.
+        /// The version of the configuration.
         version: u64,
-        /// Where it came from.
+        /// The address of the other host.
         from: SocketAddr,
     },
-    /// Other entry hosts came, or came back.
+    /// Other entry hosts joined or returned.
     PeerJoined {
-        /// The first of them by name, no more than a few.
+        /// The first few of them by name.
         peers: &'a [Name],
-        /// How many there are.
+        /// The total number.
         count: usize,
     },
-    /// Other entry hosts are silent; what they held lapses.
+    /// Other entry hosts are silent; their reservations expire.
     PeerLost {
-        /// The first of them by name, no more than a few.
+        /// The first few of them by name.
         peers: &'a [Name],
-        /// How many there are.
+        /// The total number.
         count: usize,
     },
-    /// A request goes to a backend server.
+    /// A request is sent to a backend server.
     Placed {
-        /// The request.
+        /// The id of the request.
         id: &'a str,
-        /// What was asked: the same for each attempt of a caller that comes back.
+        /// The fingerprint of the request, which is the same for each retry by its caller.
         #[serde(serialize_with = "as_text")]
         asked: Fingerprint,
         /// The server.
         server: &'a str,
-        /// Which try it is, from `1`.
+        /// The number of the attempt, from `1`.
         attempt: u32,
-        /// The length of its prompt in tokens; `0` where it is no generation.
+        /// The length of its prompt in tokens; `0` if the request is not a generation.
         prompt: u64,
-        /// Servers that read a part of the prompt.
+        /// The number of servers that read a part of the prompt.
         helpers: usize,
-        /// Servers that hold a part of its memory.
+        /// The number of servers that hold a part of its memory.
         shares: usize,
-        /// How long it has waited, in milliseconds.
+        /// The time since its arrival, in milliseconds.
         waited_ms: u64,
-        /// When its first event is expected, in milliseconds.
+        /// The expected time to its first event, in milliseconds.
         expected_ms: u64,
-        /// The configuration's version.
+        /// The version of the configuration that admitted the request.
         config: u64,
         /// The time since the host was asked to stop, in milliseconds, if it was.
         #[serde(skip_serializing_if = "Option::is_none")]
         stopping_ms: Option<u64>,
     },
-    /// A try failed.
+    /// An attempt failed.
     AttemptFailed {
-        /// The request.
+        /// The id of the request.
         id: &'a str,
         /// The server.
         server: &'a str,
-        /// Which try it was.
+        /// The number of the attempt.
         attempt: u32,
-        /// What was seen.
+        /// The error that was observed.
         problem: &'a str,
     },
     /// A request was answered by a backend server.
     Answered {
-        /// The request.
+        /// The id of the request.
         id: &'a str,
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// The time from its arrival to the end of the answer, in milliseconds.
+        /// The time from its arrival to the end of the response, in milliseconds.
         took_ms: u64,
-        /// The time to the first event or the whole answer, in milliseconds.
+        /// The time to the first event or the whole response, in milliseconds.
         first_ms: u64,
         /// The longest pause between two events, in milliseconds.
         longest_pause_ms: u64,
-        /// The time to the first event or the whole answer within which it was in time, in milliseconds.
+        /// The latency objective for the first event or the whole response, in milliseconds.
         aim_ms: u64,
-        /// The longest pause with which it was in time, in milliseconds, if it has a bound.
+        /// The objective for the longest pause, in milliseconds, if there is one.
         pause_aim_ms: Option<u64>,
     },
-    /// A request was answered with an error kind of the product.
+    /// A request was answered with one of the product's error kinds.
     Refused {
-        /// The request.
+        /// The id of the request.
         id: &'a str,
         /// The error kind.
         kind: &'a str,
-        /// The number of the kind's event.
+        /// The event number of the error kind.
         number: u16,
-        /// Whether it ran.
+        /// Whether the request ran: `yes`, `no` or `unknown`.
         ran: &'a str,
-        /// How long it took, in milliseconds.
+        /// The time since its arrival, in milliseconds.
         took_ms: u64,
-        /// The age of the host's word of the store, in milliseconds.
+        /// The age of the host's store data, in milliseconds.
         store_age_ms: Option<u64>,
         /// The time since the host was asked to stop, in milliseconds, if it was.
         #[serde(skip_serializing_if = "Option::is_none")]
@@ -304,141 +304,141 @@
     },
     /// A stream was broken off before its end.
     BrokenOff {
-        /// The request.
+        /// The id of the request.
         id: &'a str,
-        /// Why.
+        /// The reason.
         problem: &'a str,
-        /// How long it took, in milliseconds.
+        /// The time since its arrival, in milliseconds.
         took_ms: u64,
         /// The time since the host was asked to stop, in milliseconds, if it was.
         #[serde(skip_serializing_if = "Option::is_none")]
         stopping_ms: Option<u64>,
     },
-    /// The caller left before its answer was whole.
+    /// The caller disconnected before its response was complete.
     CallerLeft {
-        /// The request.
+        /// The id of the request.
         id: &'a str,
     },
-    /// A prompt is held back for now; told once for each reason.
+    /// A prompt is held back for now; logged once for each reason.
     Held {
-        /// The request.
+        /// The id of the request.
         id: &'a str,
-        /// Why: `memory`, `giants`, `busy` or `harm`.
+        /// The reason: `memory`, `giants`, `busy` or `harm`.
         reason: &'a str,
         /// The length of its prompt in tokens.
         prompt: u64,
-        /// How long it has waited, in milliseconds.
+        /// The time since its arrival, in milliseconds.
         waited_ms: u64,
-        /// Prompts being read that take up many engines at once, over all hosts.
+        /// Multi-engine prompts that are being read, over all hosts.
         giants: u32,
-        /// How much the engines have had to read lately, from `0.0` to `1.0`.
+        /// How busy the engines have recently been with reading, from `0.0` to `1.0`.
         pressure: f64,
     },
-    /// The end of a stop cuts a request off.
+    /// A request is cut off because the host stops.
     CutOff {
-        /// The request; empty where its head was not understood yet.
+        /// The id of the request; empty if its head has not been parsed yet.
         id: &'a str,
-        /// What it was doing: `waits`, `sent` or `passes_on`.
+        /// The stage of the request: `waits`, `sent` or `passes_on`.
         doing: &'a str,
-        /// The server that has it, if any.
+        /// The server that the request was sent to, if any.
         #[serde(skip_serializing_if = "Option::is_none")]
         server: Option<&'a str>,
-        /// How long ago it came, in milliseconds.
+        /// The time since its arrival, in milliseconds.
         took_ms: u64,
-        /// How long after the request to stop it came, in milliseconds, if it came after it.
+        /// The time from the stop request to its arrival, in milliseconds, if it arrived after that.
         #[serde(skip_serializing_if = "Option::is_none")]
         came_stopping_ms: Option<u64>,
         /// The time since the host was asked to stop, in milliseconds, if it was.
         #[serde(skip_serializing_if = "Option::is_none")]
         stopping_ms: Option<u64>,
     },
-    /// No host asked had budget left for a repeated send.
+    /// No host had budget left for a retry.
     RepeatRefused {
-        /// The request.
+        /// The id of the request.
         id: &'a str,
-        /// The service that it is for.
+        /// The service that the request is for.
         service: &'a str,
-        /// Other hosts that were asked; `0` where none had anything left a moment before.
+        /// The number of hosts that were asked for a loan; `0` if none had any budget a moment before.
         asked: usize,
     },
-    /// A server broke a request off, and was looked at.
+    /// A server broke a request off and was checked.
     ServerBrokeOff {
-        /// The request.
+        /// The id of the request.
         id: &'a str,
-        /// What was asked.
+        /// The fingerprint of the request.
         #[serde(serialize_with = "as_text")]
         asked: Fingerprint,
         /// The server.
         server: &'a str,
-        /// How long it had run there since its first event, in milliseconds, if one had come.
+        /// How long the request had run there since its first event, in milliseconds, if one had arrived.
         ran_ms: Option<u64>,
-        /// Whether the server has ended: nobody listens at its address any more.
+        /// Whether the server has ended: its address refuses connections.
         ended: bool,
     },
-    /// A request is sent to no server any more.
+    /// A request is quarantined: it is sent to no server.
     Quarantined {
-        /// What was asked.
+        /// The fingerprint of the request.
         #[serde(serialize_with = "as_text")]
         asked: Fingerprint,
-        /// Servers that have ended under it, as far as this host knows.
+        /// The number of servers that ended while they ran it, as far as this host knows.
         servers: usize,
-        /// Whether this host has seen a part of that itself.
+        /// Whether this host observed some of that itself.
         first_hand: bool,
     },
-    /// A request may be sent to servers again.
+    /// A request is released from quarantine.
     QuarantineReleased {
-        /// What was asked.
+        /// The fingerprint of the request.
         #[serde(serialize_with = "as_text")]
         asked: Fingerprint,
     },
-    /// The store could not be told what was decided on a request.
+    /// A quarantine decision could not be written to the store.
     QuarantineNotKept {
-        /// What was asked.
+        /// The fingerprint of the request.
         #[serde(serialize_with = "as_text")]
         asked: Fingerprint,
-        /// What was seen.
+        /// The error that was observed.
         problem: &'a str,
     },
-    /// Memory could not be set aside for a prompt.
+    /// Memory could not be reserved for a prompt.
     MemoryRefused {
-        /// The request.
+        /// The id of the request.
         id: &'a str,
         /// The server that refused.
         server: &'a str,
-        /// What was seen.
+        /// The error that was observed.
         problem: &'a str,
     },
-    /// Memory was not given back; it lapses by itself.
+    /// Reserved memory was not released; it expires by itself.
     MemoryNotReleased {
         /// The server.
         server: &'a str,
-        /// What was seen.
+        /// The error that was observed.
         problem: &'a str,
     },
-    /// Something could not be sent or read between hosts.
+    /// A message between hosts could not be sent or parsed.
     PeerFault {
-        /// What was seen.
+        /// The error that was observed.
         problem: &'a str,
     },
-    /// A listener could not take a connection.
+    /// A listener could not accept a connection.
     ListenFault {
-        /// What was seen.
+        /// The error that was observed.
         problem: &'a str,
     },
-    /// Lines were left out.
+    /// Log lines were dropped.
     LinesDropped {
-        /// How many.
+        /// The number of dropped lines.
         count: u64,
     },
 }
 
-/// Writes a digest as the text that operators look for.
-fn as_text<S: Serializer>(asked: &Fingerprint, serializer: S) -> Result<S::Ok, S::Error> {
-    serializer.collect_str(asked)
+/// Serializes a fingerprint in the text form that operators search for.
+fn as_text<S: Serializer>(fingerprint: &Fingerprint, serializer: S) -> Result<S::Ok, S::Error> {
+    serializer.collect_str(fingerprint)
 }
 
 impl Record<'_> {
-    /// Gives the kind of the line.
+    /// Returns the kind of the line.
     pub fn kind(&self) -> &'static Kind {
         match self {
             Record::Started { .. } => &kind::STARTED,
--- a/crates/alderglade-serve/src/generate.rs
+++ b/crates/alderglade-serve/src/generate.rs
@@ -457,7 +457,7 @@
 
 fn log_placed(node: &Node, job: &Job, server: &Server, plan: &Plan, attempt: u32) {
     let waited = job.waited();
-    node.metrics.waited.observe(waited.as_secs_f64());
+    node.metrics.wait_time.observe(waited.as_secs_f64());
     event::write(&Record::Placed {
         id: &job.info.id,
         asked: job.fingerprint,
--- a/crates/alderglade-serve/src/lib.rs
+++ b/crates/alderglade-serve/src/lib.rs
@@ -1,8 +1,9 @@
-//! The traffic of an entry host: takes callers' HTTP, places each request, passes the answer on.
+//! Serves the traffic of an entry host: accepts callers' HTTP requests, places each of them on a backend server and
+//! relays the response.
 //!
-//! Everything runs on one thread, on `hyper` over a current-thread `tokio` runtime. Decisions are
-//! those of `alderglade_core::fleet`; this crate carries them out. What a deployment calls things on
-//! the wire is known only to a [`translate::Translator`] that is passed in.
+//! Everything runs on one thread, on `hyper` over a current-thread `tokio` runtime. `alderglade_core::fleet` makes
+//! the decisions; this crate carries them out. The wire format of a deployment is known only to the
+//! [`translate::Translator`] that is passed in.
 
 pub mod answer;
 pub mod attempt;
--- a/crates/alderglade-serve/src/listen.rs
+++ b/crates/alderglade-serve/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listeners: for callers, for the balancer's question and for operators.
+//! Listeners for callers, for the balancer's readiness check and for operators.
 
 use crate::answer::Content;
 use crate::clock;
@@ -18,50 +18,50 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Connections that wait to be accepted.
-const BACKLOG: u32 = 1_024;
-/// The smallest buffer that the HTTP library allows.
-const SMALLEST_BUFFER: usize = 8_192;
-/// How long a connection that says nothing is kept where the configuration isn't known yet.
-const UNKNOWN_IDLE: Duration = Duration::from_secs(15);
-/// The pause after a connection could not be accepted, so that a lack of descriptors isn't a busy loop.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How long a stopping host waits for the request of a connection that has just been opened, so that its caller is told
-/// to come back elsewhere: a way there and back between failure domains, and a busy moment.
-const FIRST_REQUEST: Duration = Duration::from_millis(200);
+/// Maximum number of connections that wait to be accepted.
+const MAX_PENDING_CONNECTIONS: u32 = 1_024;
+/// The smallest buffer that the HTTP library allows, in bytes.
+const MIN_BUFFER_BYTES: usize = 8_192;
+/// Idle timeout of a connection while the configuration is not known yet.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Delay after a connection could not be accepted, so that a lack of file descriptors does not cause a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// How long a stopping host waits for the request on a connection that has just been opened, so that its caller is
+/// told to retry elsewhere: a round trip between failure domains, with a margin for a busy host.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Opens a listener.
 ///
 /// # Errors
 ///
-/// Where the address can't be had.
+/// Returns an error if the address is not available.
 pub fn open(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(MAX_PENDING_CONNECTIONS)
 }
 
 /// Serves callers until the process ends.
-pub async fn callers(node: Rc<Node>, listener: TcpListener) {
+pub async fn serve_callers(node: Rc<Node>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(connection(node.clone(), stream));
+                tokio::task::spawn_local(serve_connection(node.clone(), stream));
             }
             Err(error) => {
                 let problem = error.to_string();
                 event::write(&Record::ListenFault { problem: &problem });
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn connection(node: Rc<Node>, stream: TcpStream) {
+async fn serve_connection(node: Rc<Node>, stream: TcpStream) {
     let _connected = node.track_connection();
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("socket option refused: {error}");
+        log::debug!("cannot set a socket option: {error}");
     }
     let limits = node
         .state
@@ -69,59 +69,61 @@
         .config
         .as_ref()
         .map(|config| config.limits);
-    let idle = limits.map_or(UNKNOWN_IDLE, |limits| limits.idle_timeout);
-    let head = limits.map_or(SMALLEST_BUFFER, |limits| limits.max_header_bytes);
+    let idle_timeout = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_timeout);
+    let max_header_bytes = limits.map_or(MIN_BUFFER_BYTES, |limits| limits.max_header_bytes);
     let service_node = node.clone();
-    let asked: Rc<Cell<bool>> = Rc::default();
-    let has_asked = asked.clone();
+    let request_received: Rc<Cell<bool>> = Rc::default();
+    let mark_received = request_received.clone();
     let service = service_fn(move |request: Request<Incoming>| {
         let node = service_node.clone();
-        has_asked.set(true);
-        // Kept apart from the connection, which is there for much longer: at rest, and while a stream is passed on.
+        mark_received.set(true);
+        // Boxed apart from the connection, which lives much longer: while it is idle, and while a stream is relayed.
         let served = Box::pin(forward::serve(node, request));
         async move { Ok::<_, Infallible>(served.await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(idle)
-        .max_buf_size(head.max(SMALLEST_BUFFER))
+        .header_read_timeout(idle_timeout)
+        .max_buf_size(max_header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let result = tokio::select! {
-        // A request that has come is read and answered before the connection counts as at rest.
+        // A request that has arrived is read and answered before the connection counts as idle.
         biased;
         result = connection.as_mut() => result,
-        () = ends_at_rest(&node) => {
+        () = wait_to_close_idle(&node) => {
             connection.as_mut().graceful_shutdown();
             tokio::select! {
                 biased;
                 result = connection.as_mut() => result,
-                () = head_overdue(&asked) => Ok(()),
+                () = wait_for_overdue_head(&request_received) => Ok(()),
             }
         }
     };
     if let Err(error) = result {
-        log::debug!("a caller's connection: {error}");
+        log::debug!("caller connection failed: {error}");
     }
 }
 
-/// Waits until a connection that was opened now is to be ended where it rests: the host stops and takes no more requests.
-async fn ends_at_rest(node: &Node) {
+/// Waits until a connection that is opened now must be closed when idle: the host is stopping and accepts no more
+/// requests.
+async fn wait_to_close_idle(node: &Node) {
     let opened = clock::now();
     node.wait_until_closed().await;
-    clock::sleep_until(opened + FIRST_REQUEST).await;
+    clock::sleep_until(opened + FIRST_REQUEST_TIMEOUT).await;
 }
 
-/// Waits until a connection over which no request has come, but maybe a part of its head, had its time for the rest.
-async fn head_overdue(asked: &Cell<bool>) {
-    tokio::time::sleep(FIRST_REQUEST).await;
-    if asked.get() {
+/// Waits until a connection without a request, but possibly with a part of its head, has used its time to send the
+/// rest.
+async fn wait_for_overdue_head(request_received: &Cell<bool>) {
+    tokio::time::sleep(FIRST_REQUEST_TIMEOUT).await;
+    if request_received.get() {
         std::future::pending::<()>().await;
     }
 }
 
-/// Answers the balancer's question whether the host takes new connections.
-pub async fn ready(node: Rc<Node>, listener: TcpListener) {
+/// Answers the balancer's readiness check: whether the host accepts new connections.
+pub async fn serve_readiness(node: Rc<Node>, listener: TcpListener) {
     simple(listener, move |_| {
         let status = if node.ready() {
             StatusCode::OK
@@ -134,15 +136,15 @@
 }
 
 /// Serves the metrics to operators.
-pub async fn metrics(node: Rc<Node>, listener: TcpListener) {
+pub async fn serve_metrics(node: Rc<Node>, listener: TcpListener) {
     simple(listener, move |request| match request.uri().path() {
-        "/metrics" => plain(StatusCode::OK, node.metrics.text()),
+        "/metrics" => plain(StatusCode::OK, node.metrics.encode()),
         _ => plain(StatusCode::NOT_FOUND, Vec::new()),
     })
     .await;
 }
 
-/// Answers questions that need no waiting until the process ends.
+/// Serves requests whose responses are available immediately, until the process ends.
 pub(crate) async fn simple(
     listener: TcpListener,
     answer: impl Fn(&Request<Incoming>) -> Response<Content> + Clone + 'static,
@@ -153,7 +155,7 @@
             Err(error) => {
                 let problem = error.to_string();
                 event::write(&Record::ListenFault { problem: &problem });
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -165,16 +167,16 @@
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(UNKNOWN_IDLE)
+                .header_read_timeout(DEFAULT_IDLE_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
             if let Err(error) = connection.await {
-                log::debug!("a connection: {error}");
+                log::debug!("connection failed: {error}");
             }
         });
     }
 }
 
-/// Makes an answer.
+/// Builds a response without headers.
 pub(crate) fn plain(status: StatusCode, body: Vec<u8>) -> Response<Content> {
     let mut response = Response::new(Content::Whole(Some(Bytes::from(body).into())));
     *response.status_mut() = status;
--- a/crates/alderglade-serve/src/memory.rs
+++ b/crates/alderglade-serve/src/memory.rs
@@ -1,64 +1,66 @@
-//! What the host keeps for callers and backend servers that read slowly: bounded in all, whatever their number.
+//! Memory for data buffered on behalf of callers and backend servers that read slowly. The total is bounded, whatever
+//! their number.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Bytes that are kept for a request beside the pool: about as much as the HTTP library keeps for its connection.
-const FREE: usize = 8 * 1024;
+/// Bytes that a request may buffer without using the pool: about as much as the HTTP library buffers for its
+/// connection.
+const FREE_BYTES: usize = 8 * 1024;
 
-/// The bytes that may be kept for all requests together.
+/// The memory that may be used by all requests together.
 #[derive(Debug)]
 pub struct Pool {
-    left: AtomicUsize,
+    available: AtomicUsize,
 }
 
 impl Pool {
-    /// Makes a pool of so many bytes.
+    /// Creates a pool of `bytes` bytes.
     pub fn new(bytes: usize) -> Arc<Pool> {
         Arc::new(Pool {
-            left: AtomicUsize::new(bytes),
+            available: AtomicUsize::new(bytes),
         })
     }
 
-    /// Gives how many bytes are left.
-    pub fn left(&self) -> usize {
-        self.left.load(Ordering::Relaxed)
+    /// Returns the number of available bytes.
+    pub fn available(&self) -> usize {
+        self.available.load(Ordering::Relaxed)
     }
 }
 
-/// What is kept for one request; given back to the pool when dropped.
+/// The memory used by one request; returned to the pool on drop.
 #[derive(Debug)]
 pub struct Portion {
     pool: Arc<Pool>,
-    /// The bytes that are kept.
-    kept: usize,
-    /// Those of them that are taken from the pool.
-    taken: usize,
+    /// Bytes in use.
+    used: usize,
+    /// Bytes among them that were taken from the pool.
+    pooled: usize,
 }
 
 impl Portion {
-    /// Makes the portion of a request for which nothing is kept yet.
+    /// Creates an empty portion.
     pub fn new(pool: &Arc<Pool>) -> Portion {
         Portion {
             pool: pool.clone(),
-            kept: 0,
-            taken: 0,
+            used: 0,
+            pooled: 0,
         }
     }
 
-    /// Takes so many more bytes; says whether the pool had them. Where it had not, nothing was taken.
+    /// Allocates `bytes` more bytes; returns whether the pool had them. Allocates nothing if it had not.
     #[must_use]
     pub fn grow(&mut self, bytes: usize) -> bool {
-        let kept = self.kept + bytes;
-        let more = kept.saturating_sub(FREE).saturating_sub(self.taken);
-        let left = &self.pool.left;
-        let take = |left: usize| left.checked_sub(more);
-        let has_room = left
+        let used = self.used + bytes;
+        let more = used.saturating_sub(FREE_BYTES).saturating_sub(self.pooled);
+        let available = &self.pool.available;
+        let take = |available: usize| available.checked_sub(more);
+        let has_room = available
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, take)
             .is_ok();
         if has_room {
-            self.kept = kept;
-            self.taken += more;
+            self.used = used;
+            self.pooled += more;
         }
         has_room
     }
@@ -66,6 +68,8 @@
 
 impl Drop for Portion {
     fn drop(&mut self) {
-        self.pool.left.fetch_add(self.taken, Ordering::Relaxed);
+        self.pool
+            .available
+            .fetch_add(self.pooled, Ordering::Relaxed);
     }
 }
--- a/crates/alderglade-serve/src/metrics.rs
+++ b/crates/alderglade-serve/src/metrics.rs
@@ -5,81 +5,81 @@
     Registry, TextEncoder,
 };
 
-/// Bounds of the latency buckets, in seconds, around the usual aims of 0.15 to 2.5 s.
+/// Upper bounds of the latency buckets, in seconds, around the usual objectives of 0.15 to 2.5 s.
 const BUCKETS: [f64; 12] = [
     0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1.0, 1.5, 2.5, 5.0, 10.0,
 ];
 
-/// The figures of one process.
+/// The metrics of one process.
 pub struct Metrics {
     registry: Registry,
-    /// Answers by status class or error kind.
+    /// Responses by outcome or error kind.
     pub answers: IntCounterVec,
-    /// Requests that were answered within their route's aim, and those that were not.
+    /// Requests by whether their response met the latency objective of their route.
     pub objectives: IntCounterVec,
-    /// Time to the first event or whole answer.
+    /// Time to the first event or the whole response.
     pub first_event: Histogram,
     /// Time that prompts wait at the host before they are sent.
-    pub waited: Histogram,
-    /// Sends beyond the first of a request.
+    pub wait_time: Histogram,
+    /// Retries: sends beyond the first of a request.
     pub repeats: IntCounter,
-    /// Repeats that no host had a part of its budget left for.
+    /// Retries refused because no host had budget left.
     pub repeats_refused: IntCounter,
-    /// What was lent to other hosts, in repeats.
+    /// Budget lent to other hosts, in retries.
     pub lent: Counter,
-    /// What is left of this host's own part, in repeats, of the service where it is least.
+    /// Remaining budget of this host, in retries, of the service where it is smallest.
     pub repeats_left: Gauge,
     /// Calls to the store.
     pub store_calls: IntCounter,
-    /// Age of the last word of the store, in milliseconds.
+    /// Age of the latest data from the store, in milliseconds.
     pub store_age: IntGauge,
-    /// The store's era: how often it has come back from a copy, as it says.
+    /// The store's era: how often it was restored from a copy, as it reports.
     pub store_era: IntGauge,
-    /// The configuration's version.
+    /// The version of the configuration in force.
     pub config: IntGauge,
-    /// Backend servers known.
+    /// Known backend servers.
     pub servers: IntGauge,
-    /// Backend servers that are passed over by any server's word.
+    /// Backend servers that are ejected because of any server's report.
     pub passed_over: IntGauge,
-    /// Backend servers that have named a limit.
+    /// Backend servers that have stated a rate limit.
     pub limited: IntGauge,
-    /// Backend servers that have started again under their id.
+    /// Restarts of backend servers under the same id.
     pub restarts: IntCounter,
-    /// Entries of the store that couldn't be read, counted once for each change of them.
+    /// Entries of the store that could not be parsed, counted once for each change of them.
     pub unreadable: IntCounter,
-    /// Requests that are sent to no server, because servers end under them.
+    /// Requests that are quarantined because servers end under them.
     pub quarantined: IntGauge,
-    /// Entry hosts heard of, with this one.
+    /// Live entry hosts, including this one.
     pub hosts: IntGauge,
-    /// Notices of other failure domains' hosts that were passed on in the own one.
+    /// Notices from hosts of other failure domains that were forwarded within this one.
     pub passed_on: IntCounter,
-    /// Requests in hand.
+    /// Requests in progress.
     pub in_flight: IntGauge,
     /// Whether the host was asked to stop: `1` if so.
     pub stopping: IntGauge,
-    /// Requests that came after the request to stop.
+    /// Requests that arrived after the stop request.
     pub taken_stopping: IntCounter,
-    /// Requests that the end of a stop cuts off.
+    /// Requests that are cut off when the host stops.
     pub cut_off: IntCounter,
-    /// Connections of callers that are open.
+    /// Open connections of callers.
     pub caller_connections: IntGauge,
-    /// Sets of memory set aside.
+    /// Prompts with memory reserved at several engines.
     pub tickets: IntGauge,
-    /// Connections opened to backend servers and the store.
+    /// Connections opened to backend servers and the store so far.
     pub connections: IntGauge,
 }
 
 impl Metrics {
-    /// Makes and registers all figures.
+    /// Creates and registers all metrics.
     ///
     /// # Errors
     ///
-    /// Where two figures have the same name.
+    /// Returns an error if two metrics have the same name.
     pub fn new() -> Result<Metrics, prometheus::Error> {
         let registry = Registry::new();
         let metrics = Metrics {
-            answers: counters("alderglade_answers_total", "Answers by outcome.", "outcome")?,
-            objectives: counters(
+            answers: counter_vec("alderglade_answers_total", "Answers by outcome.", "outcome")?,
+            objectives: counter_vec(
                 "alderglade_objective_total",
                 "Answers by whether they met the latency objective.",
                 "met",
@@ -88,7 +88,7 @@
                 "alderglade_first_event_seconds",
                 "Time to the first event or whole answer.",
             )?,
-            waited: histogram(
+            wait_time: histogram(
                 "alderglade_waited_seconds",
                 "Time that prompts wait at the host.",
             )?,
@@ -160,21 +160,21 @@
         Ok(metrics)
     }
 
-    /// Gives all figures as text.
-    pub fn text(&self) -> Vec<u8> {
+    /// Returns all metrics in the Prometheus text format.
+    pub fn encode(&self) -> Vec<u8> {
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
-            log::error!("metrics can't be written: {error}");
+            log::error!("cannot encode metrics: {error}");
         }
         text
     }
 
     fn register(&self) -> Result<(), prometheus::Error> {
-        let all: [Box<dyn prometheus::core::Collector>; 27] = [
+        let collectors: [Box<dyn prometheus::core::Collector>; 27] = [
             Box::new(self.answers.clone()),
             Box::new(self.objectives.clone()),
             Box::new(self.first_event.clone()),
-            Box::new(self.waited.clone()),
+            Box::new(self.wait_time.clone()),
             Box::new(self.repeats.clone()),
             Box::new(self.repeats_refused.clone()),
             Box::new(self.lent.clone()),
@@ -199,14 +199,14 @@
             Box::new(self.tickets.clone()),
             Box::new(self.connections.clone()),
         ];
-        for figure in all {
-            self.registry.register(figure)?;
+        for collector in collectors {
+            self.registry.register(collector)?;
         }
         Ok(())
     }
 }
 
-fn counters(name: &str, help: &str, label: &str) -> Result<IntCounterVec, prometheus::Error> {
+fn counter_vec(name: &str, help: &str, label: &str) -> Result<IntCounterVec, prometheus::Error> {
     IntCounterVec::new(Opts::new(name, help), &[label])
 }
 
--- a/crates/alderglade-serve/src/relay/take_over.rs
+++ b/crates/alderglade-serve/src/relay/take_over.rs
@@ -60,9 +60,13 @@
                 frame = part.frame(), if !failed => match frame {
                     Some(Err(error)) => {
                         log::debug!("silent server {} failed: {error}", part.server.id());
-                        let first_event_at = part.first_event_at;
-                        attempt::handle_broken_off(&self.node, &self.job, &part.server, first_event_at)
-                            .await;
+                        attempt::handle_broken_off(
+                            &self.node,
+                            &self.job,
+                            &part.server,
+                            part.first_event_at,
+                        )
+                        .await;
                         part.release_resources();
                         failed = true;
                     }
--- a/crates/alderglade-serve/src/settings.rs
+++ b/crates/alderglade-serve/src/settings.rs
@@ -1,4 +1,4 @@
-//! What an entry host must know before it can serve.
+//! Settings that an entry host needs before it can serve.
 
 use alderglade_core::Name;
 use alderglade_core::fleet::budget::Bound;
@@ -10,32 +10,34 @@
 /// The settings of one entry host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// The host's name.
+    /// The name of the host.
     pub host: Name,
-    /// Its failure domain.
+    /// The failure domain of the host.
     pub domain: Name,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub callers: SocketAddr,
-    /// Where it is asked whether it takes new connections.
+    /// Address of the readiness check: whether the host accepts new connections.
     pub ready: SocketAddr,
-    /// Where operators read metrics, if anywhere.
+    /// Address on which operators read metrics, if any.
     pub metrics: Option<SocketAddr>,
-    /// Where other entry hosts send notices over UDP, and ask over TCP for what is too large for one.
+    /// Address on which other entry hosts send notices over UDP, and over TCP request whatever is too large for a
+    /// datagram.
     pub peers: SocketAddr,
-    /// The time between the request to stop and the kill.
+    /// Time between the stop request and the kill.
     pub grace: Duration,
-    /// How soon a key that was taken away must stop working; `None` where that isn't asked.
+    /// Time within which a revoked key must stop working; `None` if there is no such requirement.
     pub revocation: Option<Duration>,
-    /// The bound on repeated sends to a service, over all hosts.
+    /// Limit on retries to a service, over all hosts.
     pub retries: Bound,
-    /// Within which time nothing new may reach an evacuated failure domain; `None` where the deployment has no evacuations.
+    /// Time within which no new request may reach an evacuated failure domain; `None` if the deployment has no
+    /// evacuations.
     pub evacuation: Option<Duration>,
-    /// The bound on requests to cold servers, where the deployment sets one.
+    /// Limit on requests to cold servers, if the deployment sets one.
     pub cold: Option<cold::Bound>,
     /// The region of each failure domain.
     pub regions: HashMap<Name, Name>,
-    /// The memory that the process may use, in bytes.
+    /// Memory that the process may use, in bytes.
     pub memory: usize,
-    /// How long memory set aside may stay unused before the engine's operators count it as lost.
+    /// How long reserved memory may stay unused before the engine's operators count it as lost.
     pub memory_idle: Duration,
 }
--- a/crates/alderglade-serve/src/unary.rs
+++ b/crates/alderglade-serve/src/unary.rs
@@ -3,7 +3,7 @@
 use crate::answer::{Chunk, Content};
 use crate::attempt::{self, SendFailure};
 use crate::body_sender::{BodySender, CallerGone};
-use crate::client::{Collected, Exchange, Rest};
+use crate::client::{Collected, Exchange, RemainingBody};
 use crate::clock;
 use crate::event::{self, Record};
 use crate::forward;
@@ -40,7 +40,7 @@
 struct ServerAnswer {
     first_chunk: Chunk,
     /// The remaining body, if any.
-    rest: Option<Rest>,
+    rest: Option<RemainingBody>,
 }
 
 impl ServerAnswer {
@@ -50,7 +50,7 @@
             return Content::Whole(Some(self.first_chunk));
         };
         let (body_sender, receiver) = BodySender::open(&node.memory);
-        body_sender.begin(self.first_chunk);
+        body_sender.send_first(self.first_chunk);
         let relay = BodyRelay {
             node: node.clone(),
             id: job.info.id.clone(),
@@ -72,7 +72,7 @@
     id: Name,
     deadline: Time,
     body_sender: BodySender,
-    rest: Rest,
+    rest: RemainingBody,
 }
 
 impl BodyRelay {
--- a/crates/alderglade-serve/tests/testsuite/client.rs
+++ b/crates/alderglade-serve/tests/testsuite/client.rs
@@ -39,7 +39,7 @@
 
 /// Gives the connection's own task time to run.
 async fn settle(client: &Rc<Client>, resting: usize) {
-    while client.resting() != resting {
+    while client.idle_count() != resting {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -76,7 +76,7 @@
         // The server's second, less the margin.
         tokio::time::sleep(Duration::from_millis(250)).await;
         client.expire();
-        assert_eq!(client.resting(), 0);
+        assert_eq!(client.idle_count(), 0);
     });
 }
 
@@ -86,7 +86,7 @@
         let client: Rc<Client> = Rc::default();
         let address = server("Connection: close\r\n");
         send(&client, address).await.collect().await.expect("whole");
-        assert_eq!(client.resting(), 0);
+        assert_eq!(client.idle_count(), 0);
     });
 }
 
@@ -97,7 +97,7 @@
         let address = server("");
         drop(send(&client, address).await);
         tokio::task::yield_now().await;
-        assert_eq!(client.resting(), 0);
+        assert_eq!(client.idle_count(), 0);
         assert_eq!(Rc::strong_count(&client), 1);
     });
 }
--- a/crates/alderglade-serve/tests/testsuite/event.rs
+++ b/crates/alderglade-serve/tests/testsuite/event.rs
@@ -60,7 +60,7 @@
     let end = std::thread::spawn(move || waiting.wait(Duration::from_secs(20)));
     assert_eq!(lines.recv().as_deref(), Ok("stopped"));
     assert!(!pending.wait(Duration::ZERO), "taken, but not written");
-    pending.written();
+    pending.mark_written();
     assert!(end.join().expect("the end"));
 }
 
--- a/crates/alderglade-serve/tests/testsuite/memory.rs
+++ b/crates/alderglade-serve/tests/testsuite/memory.rs
@@ -18,15 +18,15 @@
     let pool = Pool::new(100 * KB);
     let mut one = Portion::new(&pool);
     assert!(one.grow(20 * KB));
-    assert_eq!(pool.left(), 88 * KB);
+    assert_eq!(pool.available(), 88 * KB);
     let mut other = Portion::new(&pool);
     assert!(!other.grow(200 * KB), "more than there is");
-    assert_eq!(pool.left(), 88 * KB, "nothing was taken");
+    assert_eq!(pool.available(), 88 * KB, "nothing was taken");
     assert!(other.grow(96 * KB));
-    assert_eq!(pool.left(), 0);
+    assert_eq!(pool.available(), 0);
     assert!(!one.grow(1));
     drop(other);
     assert!(one.grow(1));
     drop(one);
-    assert_eq!(pool.left(), 100 * KB);
+    assert_eq!(pool.available(), 100 * KB);
 }
