--- a/crates/alderglade-serve/tests/testsuite/client.rs
+++ b/crates/alderglade-serve/tests/testsuite/client.rs
@@ -1,4 +1,4 @@
-//! Connections are kept while the other side allows it, and no longer.
+//! Connections are reused for as long as the other side allows, and no longer.
 
 use alderglade_serve::client::{Client, Exchange};
 use http::Request;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Serves one connection after the other, each request with these headers, and nothing else.
+/// Starts a server that handles one connection at a time and answers each request with these headers.
 fn server(headers: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -37,9 +37,9 @@
         .expect("an answer")
 }
 
-/// Gives the connection's own task time to run.
-async fn settle(client: &Rc<Client>, resting: usize) {
-    while client.idle_count() != resting {
+/// Waits until the task of the connection has made it idle.
+async fn wait_for_idle_count(client: &Rc<Client>, expected: usize) {
+    while client.idle_count() != expected {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -53,27 +53,27 @@
 }
 
 #[test]
-fn a_connection_is_used_again() {
+fn a_connection_is_reused() {
     run(async {
         let client: Rc<Client> = Rc::default();
-        // Long enough that it is still kept where the machine stands still for a moment.
+        // Long enough that the connection is still idle if the machine stalls for a moment.
         let address = server("Keep-Alive: timeout=60\r\n");
         for _ in 0..3 {
             send(&client, address).await.collect().await.expect("whole");
-            settle(&client, 1).await;
+            wait_for_idle_count(&client, 1).await;
         }
         assert_eq!(client.opened(), 1);
     });
 }
 
 #[test]
-fn a_connection_is_closed_when_it_has_rested_long_enough() {
+fn an_idle_connection_is_closed_after_its_timeout() {
     run(async {
         let client: Rc<Client> = Rc::default();
         let address = server("Keep-Alive: timeout=1\r\n");
         send(&client, address).await.collect().await.expect("whole");
-        settle(&client, 1).await;
-        // The server's second, less the margin.
+        wait_for_idle_count(&client, 1).await;
+        // Longer than the server's timeout of one second, less the margin of 800 ms.
         tokio::time::sleep(Duration::from_millis(250)).await;
         client.expire();
         assert_eq!(client.idle_count(), 0);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn an_exchange_that_is_dropped_leaves_nothing_behind() {
+fn a_dropped_exchange_keeps_no_connection_or_client() {
     run(async {
         let client: Rc<Client> = Rc::default();
         let address = server("");
@@ -103,12 +103,12 @@
 }
 
 #[test]
-fn a_recycled_connection_lets_go_of_the_client() {
+fn a_recycled_connection_releases_the_client() {
     run(async {
         let client: Rc<Client> = Rc::default();
         let address = server("");
         send(&client, address).await.collect().await.expect("whole");
-        settle(&client, 1).await;
+        wait_for_idle_count(&client, 1).await;
         tokio::task::yield_now().await;
         assert_eq!(Rc::strong_count(&client), 1);
     });
--- a/crates/alderglade-serve/tests/testsuite/clock.rs
+++ b/crates/alderglade-serve/tests/testsuite/clock.rs
@@ -1,4 +1,4 @@
-//! Waits of a process whose host is suspended: its clock goes on, the runtime's timers stand still.
+//! Waits across a suspension of the host: the process clock continues, while the timers of the runtime stop.
 
 use alderglade_core::time::Time;
 use alderglade_serve::clock;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Far longer than any test may take.
+/// Much longer than any test may take.
 const LONG: Duration = Duration::from_secs(600);
 
 fn run(test: impl Future<Output = ()>) {
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_wait_ends_when_the_host_wakes_after_its_time() {
+fn a_wait_ends_when_the_host_resumes_after_its_deadline() {
     run(async {
         let (now, resumed) = (Cell::new(Time(0)), Notify::new());
         let wait = clock::wait_until(Time(0) + LONG, || now.get(), &resumed);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_wait_goes_on_when_the_host_wakes_before_its_time() {
+fn a_wait_continues_when_the_host_resumes_before_its_deadline() {
     run(async {
         let (now, resumed) = (Cell::new(Time(0)), Notify::new());
         let wait = clock::wait_until(Time(0) + LONG, || now.get(), &resumed);
@@ -55,12 +55,16 @@
 }
 
 #[test]
-fn a_wait_for_what_is_over_ends_at_once() {
+fn a_wait_for_a_past_deadline_ends_immediately() {
     run(async {
         clock::sleep_until(clock::now()).await;
-        let late = clock::timeout(Duration::ZERO, std::future::pending::<()>()).await;
-        assert_eq!(late, Err(clock::Elapsed));
+        let timed_out = clock::timeout(Duration::ZERO, std::future::pending::<()>()).await;
+        assert_eq!(timed_out, Err(clock::Elapsed));
         let ready = clock::timeout(Duration::ZERO, async { 7 }).await;
-        assert_eq!(ready, Ok(7), "what is there goes before the time");
+        assert_eq!(
+            ready,
+            Ok(7),
+            "a result that is ready takes precedence over the timeout"
+        );
     });
 }
--- a/crates/alderglade-serve/tests/testsuite/event.rs
+++ b/crates/alderglade-serve/tests/testsuite/event.rs
@@ -1,11 +1,11 @@
-//! The log stays within its bounds and says what it leaves out.
+//! The log stays within its limits and reports how many lines it drops.
 
 use alderglade_serve::event::{ALL, Queue};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 #[test]
-fn numbers_and_names_are_used_once_and_in_order() {
+fn numbers_and_names_are_unique_and_in_order() {
     let numbers: Vec<u16> = ALL.iter().map(|kind| kind.number).collect();
     assert!(numbers.is_sorted());
     let names: BTreeSet<&str> = ALL.iter().map(|kind| kind.name).collect();
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn lines_over_the_budget_of_a_second_are_counted_and_told() {
+fn lines_over_the_limit_per_second_are_counted_and_the_count_is_logged() {
     let (queue, lines) = Queue::new();
     for number in 0..500 {
         queue.push(format!("line {number}"), 7);
@@ -33,9 +33,9 @@
     assert_eq!(written[301], "next second");
 }
 
-/// Nobody takes the lines: writing must not wait, and the loss must be told once somebody does.
+/// While no line is read, logging must not wait, and the loss must be logged once reading resumes.
 #[test]
-fn a_full_queue_holds_up_nobody() {
+fn a_full_queue_does_not_block_logging() {
     let (queue, lines) = Queue::new();
     for second in 0..10 {
         for number in 0..300 {
@@ -49,23 +49,23 @@
     assert_eq!(written[1], "after");
 }
 
-/// From a bench run: the line that tells the end of a process was lost in 20 of 20 planned stops, because
-/// the process ended before the thread that writes had its turn.
+/// Guards against losing the last lines: the process exited before the writer thread had run, which lost the line
+/// about the end of the process in 20 of 20 planned stops of a benchmark.
 #[test]
-fn the_end_waits_for_lines_that_are_not_written_yet() {
+fn exit_waits_for_pending_lines() {
     let (queue, lines) = Queue::new();
     let pending = queue.pending();
     queue.push("stopped".to_string(), 1);
     let waiting = pending.clone();
     let end = std::thread::spawn(move || waiting.wait(Duration::from_secs(20)));
     assert_eq!(lines.recv().as_deref(), Ok("stopped"));
-    assert!(!pending.wait(Duration::ZERO), "taken, but not written");
+    assert!(!pending.wait(Duration::ZERO), "received, but not written");
     pending.mark_written();
     assert!(end.join().expect("the end"));
 }
 
 #[test]
-fn the_end_is_not_held_up_by_a_reader_that_takes_nothing() {
+fn exit_is_not_delayed_by_a_stalled_reader() {
     let (queue, _lines) = Queue::new();
     for number in 0..2_000 {
         queue.push(format!("line {number}"), number / 200);
--- a/crates/alderglade-serve/tests/testsuite/event_lines.rs
+++ b/crates/alderglade-serve/tests/testsuite/event_lines.rs
@@ -1,5 +1,5 @@
-//! The log lines, letter for letter. Operators' tools and the soak read them by number, name and key: a key that follows
-//! a renamed field, or a number that moves to another kind, would be misread without any error.
+//! The exact text of the log lines. Operators' tools and the soak test parse them by number, name and key. A key that
+//! follows a renamed field, or a number that moves to another kind, would be misread without any error.
 
 use alderglade_core::Name;
 use alderglade_core::fleet::fingerprint::Fingerprint;
@@ -11,29 +11,29 @@
 use std::net::SocketAddr;
 
 thread_local! {
-    /// What the thread has logged.
-    static WRITTEN: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
+    /// The lines that the thread has logged.
+    static LOGGED_LINES: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Keeps each line for the thread that logs it: tests run side by side.
-struct Kept;
+/// Stores each line for the thread that logs it, because tests run in parallel.
+struct LineRecorder;
 
-impl Log for Kept {
+impl Log for LineRecorder {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
 
     fn log(&self, record: &log::Record<'_>) {
-        WRITTEN.with_borrow_mut(|lines| lines.push(record.args().to_string()));
+        LOGGED_LINES.with_borrow_mut(|lines| lines.push(record.args().to_string()));
     }
 
     fn flush(&self) {}
 }
 
-/// Gives the line that is logged for a record, without its time.
+/// Returns the line that is logged for a record, without its time.
 fn line(record: &Record<'_>) -> String {
     event::write(record);
-    let line = WRITTEN.with_borrow_mut(Vec::pop).expect("a line");
+    let line = LOGGED_LINES.with_borrow_mut(Vec::pop).expect("a line");
     let rest = line.strip_prefix("{\"at_ms\":").expect("its time");
     let rest = rest.trim_start_matches(|digit: char| digit.is_ascii_digit());
     rest.strip_prefix(',').expect("more than a time").into()
@@ -43,13 +43,13 @@
     SocketAddr::from(([10, 0, 0, 7], port))
 }
 
-fn asked(first: u8) -> Fingerprint {
+fn fingerprint(first: u8) -> Fingerprint {
     format!("{first:02x}112233445566778899aabb")
         .parse()
         .expect("a digest")
 }
 
-/// The lines of [`records`] with all that may be missing, then those that differ without it.
+/// The lines of [`records`] with all optional fields, followed by those lines that differ without them.
 const LINES: &str = r#"
 "n":3001,"level":"INFO","event":"started","host":"host-1","domain":"domain-1","callers":"10.0.0.7:8002","ready":"10.0.0.7:8003","peers":"10.0.0.7:8004","metrics":"10.0.0.7:8005"}
 "n":3002,"level":"INFO","event":"stopping","in_flight":21}
@@ -115,56 +115,56 @@
 "#;
 
 #[test]
-fn each_record_is_written_as_it_was() {
-    log::set_logger(&Kept).expect("no other logger");
+fn each_record_is_logged_as_recorded() {
+    log::set_logger(&LineRecorder).expect("no other logger");
     log::set_max_level(LevelFilter::Info);
     let peers: Vec<Name> = vec!["h2".into(), "h3".into()];
     let domains: BTreeSet<Name> = ["north".into(), "south".into()].into();
-    let records = |given| records(&peers, &domains, given);
+    let records = |full| records(&peers, &domains, full);
     let mut written: Vec<String> = records(true).iter().map(line).collect();
-    let mut without: Vec<String> = records(false).iter().map(line).collect();
-    without.retain(|line| !written.contains(line));
-    written.append(&mut without);
-    let recorded: Vec<&str> = LINES.trim().lines().collect();
-    for (written, recorded) in written.iter().zip(&recorded) {
-        assert_eq!(written, recorded);
+    let mut reduced: Vec<String> = records(false).iter().map(line).collect();
+    reduced.retain(|line| !written.contains(line));
+    written.append(&mut reduced);
+    let expected: Vec<&str> = LINES.trim().lines().collect();
+    for (written, expected) in written.iter().zip(&expected) {
+        assert_eq!(written, expected);
     }
-    assert_eq!(written.len(), recorded.len());
+    assert_eq!(written.len(), expected.len());
     let kinds: BTreeSet<u16> = records(true)
         .iter()
         .map(|record| record.kind().number)
         .collect();
-    let all: BTreeSet<u16> = ALL.iter().map(|kind| kind.number).collect();
-    assert_eq!(kinds, all, "a kind has no record here");
+    let all_kinds: BTreeSet<u16> = ALL.iter().map(|kind| kind.number).collect();
+    assert_eq!(kinds, all_kinds, "a kind has no record in this test");
 }
 
-/// Gives a record of each kind, with or without what may be missing. No two fields of a record have the same value; flags
-/// differ in one of the two cases.
+/// Returns a record of each kind, with or without optional fields. No two fields of a record have the same value;
+/// flags differ in one of the two cases.
 #[rustfmt::skip] // One record a line.
-fn records<'a>(peers: &'a [Name], domains: &'a BTreeSet<Name>, given: bool) -> Vec<Record<'a>> {
+fn records<'a>(peers: &'a [Name], domains: &'a BTreeSet<Name>, full: bool) -> Vec<Record<'a>> {
     let addresses = Addresses {
         callers: address(8_002),
         ready: address(8_003),
         peers: address(8_004),
-        metrics: given.then(|| address(8_005)),
+        metrics: full.then(|| address(8_005)),
     };
     vec![
         Record::Started { host: "host-1", domain: "domain-1", addresses },
         Record::Stopping { in_flight: 21 },
         Record::Stopped { cut_off: 31, untold: 32, taken_stopping: 33, connections: 34, stopping_ms:
-            given.then_some(35) },
+            full.then_some(35) },
         Record::Reloaded { outcome: "outcome-4" },
         Record::Suspended { span_ms: 51 },
-        Record::ConfigInForce { version: 61, before: given.then_some(62) },
+        Record::ConfigInForce { version: 61, before: full.then_some(62) },
         Record::ConfigUnreadable { problem: "problem-7" },
         Record::ServersChanged { known: 81, leaving: 82 },
         Record::ServerRefusing { server: "server-9", by: "by-9" },
         Record::ServerSlow { server: "server-10", slowdown: 2.25 },
-        Record::ServerRestarted { server: "server-11", born_ms: given.then_some(112), former_born_ms:
-            given.then_some(113) },
+        Record::ServerRestarted { server: "server-11", born_ms: full.then_some(112), former_born_ms:
+            full.then_some(113) },
         Record::ServerLeaves { server: "server-12" },
         Record::ServerBackoff { server: "server-13", for_ms: 132 },
-        Record::ServerLimit { server: "server-14", per_second: given.then_some(2.5) },
+        Record::ServerLimit { server: "server-14", per_second: full.then_some(2.5) },
         Record::ServerCold { server: "server-15", for_ms: 152 },
         Record::Evacuated { domains },
         Record::Grouped { groups: 171, hosts: 172, servers: 173 },
@@ -172,10 +172,10 @@
         Record::EntryMended { of: "of-19", name: "name-19" },
         Record::StoreLost { problem: "problem-20" },
         Record::StoreBack { age_ms: 211 },
-        Record::StoreRole { role: "role-22", heard: 222, watchers: 223, store_age_ms: given.then_some(224)
+        Record::StoreRole { role: "role-22", heard: 222, watchers: 223, store_age_ms: full.then_some(224)
             },
-        Record::StoreReach { cut_off: true, refused: given, informed: !given, isolated: false, store_age_ms:
-            given.then_some(235) },
+        Record::StoreReach { cut_off: true, refused: full, informed: !full, isolated: false, store_age_ms:
+            full.then_some(235) },
         Record::StoreRestored { era: 241, former_era: 242 },
         Record::ServersRestored { era: 251, revision: 252, former_revision: 253, missing: 254, held_back:
             255 },
@@ -183,27 +183,27 @@
         Record::ConfigCopied { version: 271, from: address(8_001) },
         Record::PeerJoined { peers, count: 282 },
         Record::PeerLost { peers, count: 292 },
-        Record::Placed { id: "id-30", asked: asked(30), server: "server-30", attempt: 304, prompt: 305,
+        Record::Placed { id: "id-30", asked: fingerprint(30), server: "server-30", attempt: 304, prompt: 305,
             helpers: 306, shares: 307, waited_ms: 308, expected_ms: 309, config: 3010, stopping_ms:
-            given.then_some(3011) },
+            full.then_some(3011) },
         Record::AttemptFailed { id: "id-31", server: "server-31", attempt: 313, problem: "problem-31" },
         Record::Answered { id: "id-32", status: 322, took_ms: 323, first_ms: 324, longest_pause_ms: 325,
-            aim_ms: 326, pause_aim_ms: given.then_some(327) },
+            aim_ms: 326, pause_aim_ms: full.then_some(327) },
         Record::Refused { id: "id-33", kind: "kind-33", number: 333, ran: "ran-33", took_ms: 335,
-            store_age_ms: given.then_some(336), stopping_ms: given.then_some(337) },
+            store_age_ms: full.then_some(336), stopping_ms: full.then_some(337) },
         Record::BrokenOff { id: "id-34", problem: "problem-34", took_ms: 343, stopping_ms:
-            given.then_some(344) },
+            full.then_some(344) },
         Record::CallerLeft { id: "id-35" },
         Record::Held { id: "id-36", reason: "reason-36", prompt: 363, waited_ms: 364, giants: 365, pressure:
             6.25 },
-        Record::CutOff { id: "id-37", doing: "doing-37", server: given.then_some("server-37"), took_ms: 374,
-            came_stopping_ms: given.then_some(375), stopping_ms: given.then_some(376) },
+        Record::CutOff { id: "id-37", doing: "doing-37", server: full.then_some("server-37"), took_ms: 374,
+            came_stopping_ms: full.then_some(375), stopping_ms: full.then_some(376) },
         Record::RepeatRefused { id: "id-38", service: "service-38", asked: 383 },
-        Record::ServerBrokeOff { id: "id-39", asked: asked(39), server: "server-39", ran_ms:
-            given.then_some(394), ended: given },
-        Record::Quarantined { asked: asked(40), servers: 402, first_hand: given },
-        Record::QuarantineReleased { asked: asked(41) },
-        Record::QuarantineNotKept { asked: asked(42), problem: "problem-42" },
+        Record::ServerBrokeOff { id: "id-39", asked: fingerprint(39), server: "server-39", ran_ms:
+            full.then_some(394), ended: full },
+        Record::Quarantined { asked: fingerprint(40), servers: 402, first_hand: full },
+        Record::QuarantineReleased { asked: fingerprint(41) },
+        Record::QuarantineNotKept { asked: fingerprint(42), problem: "problem-42" },
         Record::MemoryRefused { id: "id-43", server: "server-43", problem: "problem-43" },
         Record::MemoryNotReleased { server: "server-44", problem: "problem-44" },
         Record::PeerFault { problem: "problem-45" },
--- a/crates/alderglade-serve/tests/testsuite/message.rs
+++ b/crates/alderglade-serve/tests/testsuite/message.rs
@@ -1,5 +1,5 @@
-//! What peers send, read and taken whatever it says: nothing ends the process, and one sound notice makes good what an
-//! absurd one has done.
+//! Messages with arbitrary contents from peers: none of them ends the process, and one valid notice corrects the
+//! effect of absurd ones.
 
 use alderglade_core::fleet::config::Config;
 use alderglade_core::fleet::directory::Directory;
@@ -19,7 +19,7 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use std::time::Duration;
 
-const FIGURES: EngineProfile = EngineProfile {
+const PROFILE: EngineProfile = EngineProfile {
     slots: 10,
     memory_tokens: 232_000,
     step: 1.02,
@@ -31,12 +31,12 @@
     stride: 68,
 };
 
-/// A host and all that messages change.
+/// The state of a host that messages change.
 struct Host {
     loads: LoadTable,
     directory: Directory,
     health: Health,
-    questions: LoanRequests,
+    loan_requests: LoanRequests,
     quarantine: Quarantine,
     limits: Limits,
     evacuations: Evacuations,
@@ -45,31 +45,33 @@
 impl Host {
     fn new() -> Host {
         let mut loads = LoadTable::default();
-        let engines = (0..3).map(|number| (engine(number).key(), FIGURES));
+        let engines = (0..3).map(|number| (engine(number).key(), PROFILE));
         loads.set_engines(engines.collect());
         Host {
             loads,
             directory: Directory::default(),
             health: Health::default(),
-            questions: LoanRequests::new(0),
+            loan_requests: LoanRequests::new(0),
             quarantine: Quarantine::default(),
             limits: Limits::default(),
             evacuations: Evacuations::default(),
         }
     }
 
-    /// Takes a message as the process does.
-    fn take(&mut self, message: Message, now: Time) {
+    /// Applies a message as the process does.
+    fn apply(&mut self, message: Message, now: Time) {
         match message {
-            Message::Notice(notice) | Message::NoticeToForward(notice) => self.hear(&notice, now),
-            Message::ForwardedNotice(passed) => self.hear(&passed.notice, now),
+            Message::Notice(notice) | Message::NoticeToForward(notice) => {
+                self.apply_notice(&notice, now)
+            }
+            Message::ForwardedNotice(forwarded) => self.apply_notice(&forwarded.notice, now),
             Message::Confirmation(confirmation) => {
                 confirmation.at();
             }
             Message::StoreUpdate(update) | Message::StoreUpdateToForward(update) => {
-                self.learn(update, now)
+                self.apply_store_update(update, now)
             }
-            Message::Loan(loan) => drop(self.questions.answer(loan, now)),
+            Message::Loan(loan) => drop(self.loan_requests.answer(loan, now)),
             Message::GrantRequest(request) => {
                 let view = OwnerView {
                     own: "own",
@@ -82,7 +84,7 @@
         }
     }
 
-    fn learn(&mut self, update: StoreUpdate, now: Time) {
+    fn apply_store_update(&mut self, update: StoreUpdate, now: Time) {
         match update {
             StoreUpdate::Servers(servers) => {
                 for change in servers.changes {
@@ -94,22 +96,22 @@
         }
     }
 
-    fn hear(&mut self, notice: &Notice, now: Time) {
+    fn apply_notice(&mut self, notice: &Notice, now: Time) {
         for server in &notice.leaving {
             self.directory.mark_leaving(*server, now);
         }
-        for told in &notice.ejections {
-            self.health.apply_ejection(told, now);
+        for ejection in &notice.ejections {
+            self.health.apply_ejection(ejection, now);
         }
-        for told in &notice.quarantine {
-            self.quarantine.apply_finding(told, now);
+        for finding in &notice.quarantine {
+            self.quarantine.apply_finding(finding, now);
         }
-        for told in &notice.cold {
-            self.limits.apply_cold_report(told, now);
+        for report in &notice.cold {
+            self.limits.apply_cold_report(report, now);
         }
         self.evacuations.apply_snapshot(&notice.evacuations, now);
-        for told in &notice.limits {
-            self.limits.apply_report(told, now);
+        for report in &notice.limits {
+            self.limits.apply_report(report, now);
         }
         self.quarantine.evaluate(now);
         self.quarantine.expire(now);
@@ -135,7 +137,7 @@
     })
 }
 
-fn told(u: &mut Unstructured<'_>) -> Result<Finding> {
+fn finding(u: &mut Unstructured<'_>) -> Result<Finding> {
     let content = Content {
         workspace: None,
         method: "GET",
@@ -217,7 +219,7 @@
         leaving: vec![engine(1).key()],
         ejections: vec![ejection],
         unanswered: vec![engine(2).key()],
-        quarantine: vec![told(u)?],
+        quarantine: vec![finding(u)?],
         limits: vec![limit(u)?],
         cold: vec![cold(u)?],
         evacuations: evacuation(u)?,
@@ -226,7 +228,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_message_are_refused_and_others_taken() {
+fn arbitrary_bytes_are_rejected_or_applied_without_a_panic() {
     for number in 0..2_000_u64 {
         arbtest::arbtest(|u| {
             let mut host = Host::new();
@@ -235,7 +237,7 @@
                 let length = u.int_in_range(1..=200)?;
                 let bytes = u.bytes(length.min(u.len()))?;
                 if let Ok(message) = postcard::from_bytes::<Message>(bytes) {
-                    host.take(message, now);
+                    host.apply(message, now);
                 }
                 now = now + Duration::from_millis(40);
             }
@@ -246,9 +248,10 @@
     }
 }
 
-/// Whatever figures a peer has told, its next whole notice leaves just what that says, beside what this host holds.
+/// After notices with arbitrary figures, the next full notice of a peer leaves exactly the load that it states, in
+/// addition to the reservations of this host.
 #[test]
-fn a_sound_notice_makes_good_absurd_ones() {
+fn a_valid_full_notice_corrects_absurd_ones() {
     for number in 0..500_u64 {
         arbtest::arbtest(|u| {
             let mut host = Host::new();
@@ -269,23 +272,23 @@
             );
             let mut now = Time(0);
             for sequence in 1..=u.int_in_range(1..=8)? {
-                host.hear(&notice(u, sequence)?, now);
+                host.apply_notice(&notice(u, sequence)?, now);
                 now = now + Duration::from_millis(u.int_in_range(0..=300)?);
             }
-            let sound = Notice {
+            let valid = Notice {
                 full: true,
                 holdings: Vec::new(),
                 multi_engine_prompts: 0,
                 ..notice(u, 1_000)?
             };
-            host.hear(&sound, now);
-            let held = host.loads.total(engine(0).key());
+            host.apply_notice(&valid, now);
+            let total = host.loads.total(engine(0).key());
             assert_eq!(
-                (held.running, held.memory, held.at_risk),
+                (total.running, total.memory, total.at_risk),
                 (1, 100, own.at_risk)
             );
             assert!(host.loads.total(engine(1).key()).holds_nothing());
-            // A minute of reading is the most that one notice adds.
+            // One notice adds a minute of reading at most.
             let backlog = host.loads.backlog(engine(0).key(), now).total();
             assert!(backlog < 9.0 * 60_000.0 + 1_000.0, "{backlog}");
             Ok(())
--- a/crates/alderglade-serve/tests/testsuite/wire_bytes.rs
+++ b/crates/alderglade-serve/tests/testsuite/wire_bytes.rs
@@ -1,5 +1,5 @@
-//! The bytes that hosts send each other. Fields and variants are told apart by position only: hosts of two versions run side by
-//! side, and one would misread the other without any error if two fields or variants changed places.
+//! The bytes of messages between hosts. Fields and variants are distinguished by position only. Hosts of two versions
+//! run side by side, and one would misread the other without any error if two fields or variants changed places.
 
 use alderglade_core::fleet::config::{
     Config, Kind, Limits, Patch, Route, Service, Target, Workspace,
@@ -26,7 +26,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Gives the bytes of a value as hex digits.
+/// Returns the encoded bytes of a value as hex digits.
 pub fn hex(value: &impl Serialize) -> String {
     let bytes = postcard::to_stdvec(value).expect("bytes");
     bytes.iter().fold(String::new(), |mut text, byte| {
@@ -35,21 +35,21 @@
     })
 }
 
-/// Checks that a value is sent as the recorded bytes, and read back from them.
-fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, recorded: &str) {
-    assert_eq!(hex(value), recorded, "{value:?}");
-    let digits = recorded
+/// Checks that a value is encoded as the expected bytes, and decoded from them.
+fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, expected: &str) {
+    assert_eq!(hex(value), expected, "{value:?}");
+    let digits = expected
         .as_bytes()
         .chunks(2)
         .map(|pair| str::from_utf8(pair).expect("digits"));
     let bytes: Vec<u8> = digits
         .map(|pair| u8::from_str_radix(pair, 16).expect("hex"))
         .collect();
-    let read: T = postcard::from_bytes(&bytes).expect("a value");
-    assert_eq!(read, *value);
+    let decoded: T = postcard::from_bytes(&bytes).expect("a value");
+    assert_eq!(decoded, *value);
 }
 
-/// Gives a server's key; as a hash it is pinned elsewhere.
+/// Returns a server's key; the hash that a key usually consists of is pinned in `hashes`.
 fn key(first: u8) -> Key {
     postcard::from_bytes(&[first, 0xa1, 0xa2, 0xa3, 0xa4, 0xa5]).expect("a key")
 }
@@ -58,13 +58,13 @@
     SocketAddr::from(([10, 0, 0, last], 9_000 + u16::from(last)))
 }
 
-fn told(first: u8, fact: Fact) -> Finding {
+fn finding(first: u8, fact: Fact) -> Finding {
     let fingerprint = format!("{first:02x}112233445566778899aabb");
     let fingerprint = fingerprint.parse().expect("a digest");
     Finding { fingerprint, fact }
 }
 
-fn limit() -> rate_limit::LimitReport {
+fn limit_report() -> rate_limit::LimitReport {
     rate_limit::LimitReport {
         server: key(0x31),
         per_thousand_s: 32,
@@ -72,7 +72,7 @@
     }
 }
 
-fn cold_spell() -> cold::ColdReport {
+fn cold_report() -> cold::ColdReport {
     cold::ColdReport {
         server: key(0x34),
         per_thousand_s: 35,
@@ -108,7 +108,7 @@
         }],
         unanswered: vec![key(0x16)],
         quarantine: vec![
-            told(
+            finding(
                 0x17,
                 Fact::Crash {
                     server: key(0x18),
@@ -116,11 +116,11 @@
                     age_ms: 19,
                 },
             ),
-            told(0x20, Fact::Sound { age_ms: 21 }),
-            told(0x22, Fact::Barred { left_s: 23 }),
+            finding(0x20, Fact::Sound { age_ms: 21 }),
+            finding(0x22, Fact::Barred { left_s: 23 }),
         ],
-        limits: vec![limit()],
-        cold: vec![cold_spell()],
+        limits: vec![limit_report()],
+        cold: vec![cold_report()],
         evacuations: evacuation::Snapshot {
             at: Some(Position::new(37, 38)),
             domains: vec!["evacuated".into()],
@@ -211,7 +211,7 @@
     }
 }
 
-/// Gives a configuration. Its maps have one entry each, because their order is random.
+/// Returns a configuration. Its maps have one entry each, because their order is random.
 fn config(version: u64, kinds: &[(&str, Kind)]) -> Config {
     let limits = Limits {
         max_header_bytes: 21,
@@ -258,18 +258,18 @@
 fn notices() {
     check(&Message::Notice(notice()), &format!("00{NOTICE}"));
     check(&Message::NoticeToForward(notice()), &format!("01{NOTICE}"));
-    let passed = ForwardedNotice {
+    let forwarded = ForwardedNotice {
         origin: address(48),
         notice: notice(),
     };
     check(
-        &Message::ForwardedNotice(passed),
+        &Message::ForwardedNotice(forwarded),
         &format!("02000a000030d846{NOTICE}"),
     );
 }
 
 #[test]
-fn questions_on_the_store() {
+fn store_confirmations() {
     check(
         &Message::ConfirmationRequest(ConfirmationRequest { asked_us: 1_001 }),
         "03e907",
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn a_newer_configuration() {
+fn a_configuration_patch() {
     let old = config(51, &[("old", Kind::Idempotent)]);
     let new = config(52, &[("new", STREAM)]);
     let patch = Patch::between(&old, &new).expect("a patch");
@@ -354,8 +354,8 @@
         number: 1,
         host: "host".into(),
         server: key(0x02),
-        report: Some(limit()),
-        cold: Some(cold_spell()),
+        report: Some(limit_report()),
+        cold: Some(cold_report()),
     };
     check(
         &Message::GrantRequest(request.clone()),
@@ -379,7 +379,7 @@
     );
 }
 
-/// As one host hands it to another over HTTP.
+/// As one host transfers it to another over HTTP.
 #[test]
 fn a_whole_configuration() {
     let kinds = [
