--- a/crates/alderglade-serve/src/attempt.rs
+++ b/crates/alderglade-serve/src/attempt.rs
@@ -149,15 +149,15 @@
 /// Records that a server broke a request off and starts a check whether the server has ended. `first_event_at` is
 /// when the request's first event arrived, if one did.
 ///
-/// Returns immediately, unless the request is already suspected of ending servers. Such a request must not be sent on
-/// before it is known whether this is another server that ended under it.
+/// Returns immediately, unless the request is already suspected of ending servers. Such a request must not be sent
+/// again before it is known whether this server ended under it, too.
 pub async fn handle_broken_off(
     node: &Rc<Node>,
     job: &Job,
     server: &Server,
     first_event_at: Option<Time>,
 ) {
-    /// Several round trips between failure domains. A server that is unreachable takes longer, and has not ended.
+    /// Several round trips between failure domains. A server that cannot be reached takes longer, and has not ended.
     const CHECK_TIMEOUT: Duration = Duration::from_millis(50);
     let ran = first_event_at.map(|at| clock::now().since(at));
     // A server that was leaving ended as planned, whatever work it still had.
--- a/crates/alderglade-serve/src/client.rs
+++ b/crates/alderglade-serve/src/client.rs
@@ -46,13 +46,13 @@
     /// The connection could not be opened; nothing was sent.
     #[snafu(display("no connection: {reason}"))]
     Unreachable {
-        /// What was seen.
+        /// The error that was observed.
         reason: String,
     },
     /// The machine at the address refused the connection; nothing was sent.
     #[snafu(display("no connection: {reason}"))]
     Closed {
-        /// What was seen.
+        /// The error that was observed.
         reason: String,
     },
     /// An idle connection was closed before anything was sent on it.
@@ -61,7 +61,7 @@
     /// The connection was lost after the request, or a part of it, was sent.
     #[snafu(display("contact lost: {reason}"))]
     Lost {
-        /// What was seen.
+        /// The error that was observed.
         reason: String,
     },
 }
@@ -107,9 +107,9 @@
 
 /// A response whose head has arrived, and whose body is still to come.
 pub struct Exchange {
-    /// Status and headers.
+    /// Status and headers of the response.
     pub head: http::response::Parts,
-    /// What is still to come.
+    /// The body that is still to come.
     pub body: Incoming,
     /// The connection, to be recycled after the last byte.
     pub connection: Connection,
@@ -134,8 +134,8 @@
         fresh: bool,
     ) -> Result<Exchange, Error> {
         let mut request = request;
-        if !fresh && let Some(idle_connection) = self.take_idle(address) {
-            let failure = match self.exchange(address, idle_connection, request).await {
+        if !fresh && let Some(idle) = self.take_idle(address) {
+            let failure = match self.exchange(address, idle, request).await {
                 Ok(exchange) => return Ok(exchange),
                 Err(failure) => failure,
             };
--- a/crates/alderglade-serve/src/generate.rs
+++ b/crates/alderglade-serve/src/generate.rs
@@ -29,16 +29,17 @@
 
 /// Retry delay that a caller is given if its stream could not be started.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Maximum number of sends of one request whose servers disclaim it or are unreachable.
+/// Maximum number of sends of one request, not counting refused connections. It bounds sends that a server disclaims
+/// or that cannot reach one, which the limit of the route does not count.
 const MAX_SENDS: u32 = 5;
 /// Maximum number of servers tried for one request that refuse the connection, in addition to [`MAX_SENDS`]. A
 /// refused connection costs one round trip. When a third of many servers has crashed at once, five refusals in a row
 /// are likely.
 const MAX_REFUSED_CONNECTIONS: u32 = 12;
 /// How late a first event may be, in addition to a multiple of the expected time, before a resumable stream moves to
-/// another server. Longer than the time that a failed server stalls its work.
+/// another server. Longer than the time for which work on a dead server stalls.
 const FIRST_EVENT_SLACK: Duration = Duration::from_millis(2_000);
-/// Multiple of the expected time to the first event that a server is given.
+/// Multiple of the expected time to the first event that is allowed before that.
 const FIRST_EVENT_FACTOR: u32 = 3;
 /// Delay before a prompt is placed again after memory could not be reserved for it: the time of a few events.
 const MEMORY_RETRY_DELAY: Duration = Duration::from_millis(120);
@@ -110,15 +111,14 @@
     pub avoid: Vec<Key>,
     /// Servers that currently read parts of the prompt, in addition to the one that answers.
     readers: Vec<Key>,
-    /// Servers of a group that read the prompt together without any result.
+    /// Servers that read the prompt together without any result.
     pub stalled: Vec<Key>,
     /// Reasons for which the prompt was held back so far; each one is logged once.
     pub held_for: Vec<Reason>,
 }
 
 impl SendState {
-    /// Returns whether another send may be tried. `max_attempts` is the limit that the route sets on sends that
-    /// arrive.
+    /// Returns whether another send may be tried. `max_attempts` is the limit that the route sets on `sends`.
     fn may_send(&self, max_attempts: u32) -> bool {
         let other_sends = self.total - self.refused_connections;
         self.sends < max_attempts
@@ -127,7 +127,7 @@
     }
 }
 
-/// Serves a generation. `in_flight` is kept for as long as the stream.
+/// Serves a generation. `in_flight` counts the request until the stream has ended.
 pub async fn serve(node: &Rc<Node>, job: Job, in_flight: InFlight) -> Response<Content> {
     node.record_first_send(&job.service);
     let mut state = SendState::default();
--- a/crates/alderglade-serve/src/relay.rs
+++ b/crates/alderglade-serve/src/relay.rs
@@ -26,8 +26,8 @@
 
 /// Longest event that is buffered until it is complete, in bytes; events of the deployments have a few hundred.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
-/// Longest silence of a running stream before it moves to another server, if its caller waits for much longer: a
-/// failed server stalls its work for one and a half seconds.
+/// Longest silence of a running stream before it moves to another server, if its caller waits for much longer. Work
+/// on a dead server stalls for one and a half seconds.
 const MAX_SILENCE: Duration = Duration::from_millis(1_900);
 
 /// A stream that is being relayed to its caller.
--- a/crates/alderglade-serve/src/ticket.rs
+++ b/crates/alderglade-serve/src/ticket.rs
@@ -30,7 +30,7 @@
 pub struct TicketShare {
     /// The engine that holds the share.
     pub server: Server,
-    /// The ticket's name, unique to the request, the attempt and the engine.
+    /// The ticket's name, unique to the request, the set of shares and the engine.
     pub name: Name,
     share: Share,
 }
--- a/crates/alderglade-serve/src/translate.rs
+++ b/crates/alderglade-serve/src/translate.rs
@@ -16,7 +16,7 @@
 pub struct Malformed {
     /// The name of the header.
     pub header: &'static str,
-    /// What is wrong with it.
+    /// The problem with its value.
     pub problem: &'static str,
 }
 
--- a/crates/alderglade-serve/tests/testsuite/main.rs
+++ b/crates/alderglade-serve/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the serving library that need no sockets.
+//! Tests of the serving library that start no host.
 
 mod answer;
 mod client;
