--- a/crates/alderglade-serve/src/forward.rs
+++ b/crates/alderglade-serve/src/forward.rs
@@ -136,7 +136,7 @@
 ) -> Result<Job, Refusal> {
     let config = node.wait_for_config(STARTUP_TIMEOUT).await;
     let config = config.ok_or_else(|| Refusal::new(ErrorKind::NotReady, RETRY_ELSEWHERE_DELAY))?;
-    let Admission { route, workspace } = admit(node, &config, &head, &info)?;
+    let Admission { route, workspace } = check_access(node, &config, &head, &info)?;
     let time_limit = info.time_limit.unwrap_or(route.time_limit);
     let progress = in_flight.progress.clone();
     let deadline = progress.arrived + time_limit.min(route.time_limit);
@@ -200,9 +200,9 @@
     workspace: Option<Name>,
 }
 
-/// Finds the route and checks the key. A host whose store data is too old to trust keys refuses every request that
-/// depends on a key as `platform_unavailable`, and denies none.
-fn admit(
+/// Finds the route and checks the key. A host whose store data is too old to trust keys answers
+/// `platform_unavailable` wherever the result would depend on that data, and denies nothing.
+fn check_access(
     node: &Node,
     config: &Config,
     head: &Parts,
--- a/crates/alderglade-serve/src/generate.rs
+++ b/crates/alderglade-serve/src/generate.rs
@@ -431,7 +431,7 @@
     // Each set has its own name: a late release of a refused set must not end the next one.
     state.memory_sets += 1;
     let name = format!("{}-{}", job.info.id, state.memory_sets);
-    match Tickets::take(node, &name, &plan.shares).await {
+    match Tickets::reserve(node, &name, &plan.shares).await {
         Some(tickets) => Ok(Some(tickets)),
         None => Err(NoMemory),
     }
--- a/crates/alderglade-serve/src/generate/place.rs
+++ b/crates/alderglade-serve/src/generate/place.rs
@@ -125,13 +125,13 @@
         let queued = queue.get_or_insert_with(|| node.enqueue(demand));
         queued.update(demand)
     });
-    let shared = ServiceState {
+    let service = ServiceState {
         queued_before,
         multi_engine_prompts: node.state.borrow().loads.multi_engine_prompts(),
         pressure: node.pressure(placement::pressure(&engines)),
         engines: engines.len(),
     };
-    placement::choose(&work, &engines, &shared)
+    placement::choose(&work, &engines, &service)
 }
 
 /// Places a stream of a service that states no engine profile: on the server with the fewest calls of this host.
--- a/crates/alderglade-serve/src/ticket.rs
+++ b/crates/alderglade-serve/src/ticket.rs
@@ -52,7 +52,7 @@
     /// Reserves all shares, or none.
     ///
     /// Returns `None` if one of the engines lacks the memory or does not respond.
-    pub async fn take(node: &Rc<Node>, request: &str, shares: &[Share]) -> Option<Tickets> {
+    pub async fn reserve(node: &Rc<Node>, request: &str, shares: &[Share]) -> Option<Tickets> {
         let hold = node.settings.memory_idle.saturating_sub(EXPIRY_MARGIN);
         let mut tickets = Tickets {
             node: node.clone(),
