--- a/crates/alderglade-backend/src/engine.rs
+++ b/crates/alderglade-backend/src/engine.rs
@@ -3,7 +3,7 @@
 use crate::wire::{
     Completion, Confirmed, Export, Order, Prefill, Reason, Refusal, Requests, Reserve,
 };
-use alderglade_core::book::Report;
+use alderglade_core::engine_state::Report;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use snafu::Snafu;
--- a/crates/alderglade-core/src/admission.rs
+++ b/crates/alderglade-core/src/admission.rs
@@ -5,7 +5,7 @@
 //! refused immediately. Its retry time follows the time that the backlog needs, with jitter, so
 //! that a burst of refused requests doesn't return all at once.
 
-use crate::book::Engine;
+use crate::engine_state::Engine;
 use crate::lane::Lane;
 use crate::queue::Queue;
 use crate::request::{Id, Ticket};
@@ -146,13 +146,13 @@
     if needed <= Duration::from_micros(allowed) {
         return Ok(());
     }
-    Err(come_back(wait, ticket.id))
+    Err(jittered_retry_after(wait, ticket.id))
 }
 
 /// Returns a retry time: the time that the backlog needs, within bounds, times 0.5 to 1.5.
 ///
 /// The jitter is a hash of the request's identity, so that it is deterministic.
-pub fn come_back(backlog: Duration, id: Id) -> Duration {
+pub fn jittered_retry_after(backlog: Duration, id: Id) -> Duration {
     let span = backlog.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
     let hash = xxh3_64_with_seed(&id.serial.to_le_bytes(), id.incarnation);
     let fraction = hash >> (u64::BITS - JITTER_BITS);
--- a/crates/alderglade-core/src/cell.rs
+++ b/crates/alderglade-core/src/cell.rs
@@ -13,7 +13,7 @@
 
 use crate::Name;
 use crate::admission::{self, Capacity};
-use crate::book::Engine;
+use crate::engine_state::Engine;
 use crate::error::Kind;
 use crate::estimate::Average;
 use crate::gang::Gang;
@@ -292,7 +292,7 @@
             return false;
         };
         if granted.attempt < attempt {
-            self.done(request, End::Left, now);
+            self.finish(request, End::Left, now);
             return false;
         }
         self.actions.push(Action::Grant {
@@ -315,8 +315,8 @@
 
     fn admit(&mut self, ticket: &Ticket, now: Time) -> Result<(), Refusal> {
         let summary = self.summary(now);
-        if ticket.need() > summary.largest {
-            let retry_after = admission::come_back(Duration::ZERO, ticket.id);
+        if ticket.kv_tokens_needed() > summary.largest {
+            let retry_after = admission::jittered_retry_after(Duration::ZERO, ticket.id);
             return Err(Refusal::new(Kind::NoCapacity, retry_after));
         }
         // A retry was admitted before and keeps its deadline.
@@ -380,7 +380,7 @@
     }
 
     fn refuse_expired(&mut self, entry: &Entry) {
-        let retry_after = admission::come_back(Duration::ZERO, entry.ticket.id);
+        let retry_after = admission::jittered_retry_after(Duration::ZERO, entry.ticket.id);
         self.actions.push(Action::Refuse {
             to: entry.from.clone(),
             request: entry.ticket.id,
--- a/crates/alderglade-core/src/cell/grants.rs
+++ b/crates/alderglade-core/src/cell/grants.rs
@@ -3,7 +3,7 @@
 use super::{Action, Cell, End, Granted, MAX_HEADS};
 use crate::Name;
 use crate::admission;
-use crate::book::Running;
+use crate::engine_state::Running;
 use crate::lane::Lane;
 use crate::placement;
 use crate::queue::Entry;
@@ -82,7 +82,7 @@
         let max_single = self.summary(now).max_single;
         let mut heads = self.queue.heads(Lane::Long, MAX_HEADS);
         heads
-            .find(|entry| entry.ticket.need() > max_single)
+            .find(|entry| entry.ticket.kv_tokens_needed() > max_single)
             .cloned()
     }
 
@@ -90,7 +90,8 @@
     fn pick_long(&mut self, now: Time) -> Option<(Id, Name)> {
         let summary = self.summary(now);
         let heads = self.queue.heads(Lane::Long, MAX_HEADS);
-        let mut fitting = heads.filter(|entry| entry.ticket.need() <= summary.max_long_room);
+        let mut fitting =
+            heads.filter(|entry| entry.ticket.kv_tokens_needed() <= summary.max_long_room);
         fitting.find_map(|entry| {
             let ends = now + admission::service_time(&summary.capacity, &entry.ticket, true);
             let free = self
@@ -106,7 +107,7 @@
         let Some(entry) = self.queue.serve(id) else {
             return;
         };
-        let need = entry.ticket.need();
+        let need = entry.ticket.kv_tokens_needed();
         self.record_grant(&entry, &engine, need, now);
         self.send_grant(&entry, vec![engine]);
     }
@@ -173,7 +174,7 @@
     }
 
     /// Records the end of a granted request and frees its engines.
-    pub fn done(&mut self, request: Id, end: End, now: Time) {
+    pub fn finish(&mut self, request: Id, end: End, now: Time) {
         let Some(Granted { engines, .. }) = self.granted.remove(&request) else {
             return;
         };
--- a/crates/alderglade-core/src/cell/pool.rs
+++ b/crates/alderglade-core/src/cell/pool.rs
@@ -6,7 +6,7 @@
 
 use crate::Name;
 use crate::admission::Capacity;
-use crate::book::Engine;
+use crate::engine_state::Engine;
 use crate::gang;
 use crate::placement::{self, Config};
 use crate::request::Ticket;
--- a/crates/alderglade-core/src/cell/reports.rs
+++ b/crates/alderglade-core/src/cell/reports.rs
@@ -7,7 +7,7 @@
 
 use super::{Action, Cell};
 use crate::Name;
-use crate::book::{Engine, Holding, Report, Running};
+use crate::engine_state::{Engine, Holding, Report, Running};
 use crate::lane::{LONG_TOKENS, Lane};
 use crate::request::Id;
 use crate::time::Time;
@@ -63,7 +63,7 @@
 
     /// Extends all report timeouts by the time for which this process was stopped, so that no engine
     /// is considered silent because of it.
-    pub fn forgive(&mut self, stopped: Duration) {
+    pub fn extend_timeouts(&mut self, stopped: Duration) {
         self.engines.change_all(|engine| {
             engine.reported = engine.reported + stopped;
             for running in engine.running.values_mut() {
@@ -73,7 +73,7 @@
     }
 
     /// Frees a holding that its entry host doesn't need.
-    pub fn disown(&mut self, engine: &Name, request: Id, now: Time) {
+    pub fn free_unneeded(&mut self, engine: &Name, request: Id, now: Time) {
         self.free(engine.clone(), request);
         self.pump(now);
     }
--- a/crates/alderglade-core/src/estimate.rs
+++ b/crates/alderglade-core/src/estimate.rs
@@ -51,13 +51,13 @@
 
 /// Output length estimates of each workspace and class.
 #[derive(Debug, Default)]
-pub struct Output {
+pub struct OutputLengths {
     lengths: HashMap<(Name, Name), Lengths>,
 }
 
-impl Output {
+impl OutputLengths {
     /// Records the length of a finished answer, in tokens.
-    pub fn learn(&mut self, workspace: &Name, class: &Name, tokens: u64) {
+    pub fn record(&mut self, workspace: &Name, class: &Name, tokens: u64) {
         let key = (workspace.clone(), class.clone());
         if self.lengths.len() >= MAX_KEYS && !self.lengths.contains_key(&key) {
             return;
@@ -67,7 +67,7 @@
 
     /// Estimates the length of an answer in tokens, at most `cap`. Returns the caller's `cap` if
     /// there are too few samples.
-    pub fn expect(&self, workspace: &Name, class: &Name, cap: u64) -> u64 {
+    pub fn estimate(&self, workspace: &Name, class: &Name, cap: u64) -> u64 {
         let key = (workspace.clone(), class.clone());
         let estimate = self.lengths.get(&key).and_then(Lengths::quantile);
         estimate.unwrap_or(cap).clamp(1, cap.max(1))
--- a/crates/alderglade-core/src/gang.rs
+++ b/crates/alderglade-core/src/gang.rs
@@ -8,7 +8,7 @@
 //! original deadline.
 
 use crate::Name;
-use crate::book::Engine;
+use crate::engine_state::Engine;
 use crate::queue::Entry;
 use crate::time::Time;
 use std::time::Duration;
@@ -16,9 +16,9 @@
 /// Time limit for reserving memory at all members.
 pub const RESERVE_TIMEOUT: Duration = Duration::from_secs(2);
 /// A reservation at an engine expires after this time unless it is renewed.
-pub const RESERVATION_LIFE: Duration = Duration::from_secs(6);
+pub const RESERVATION_TIMEOUT: Duration = Duration::from_secs(6);
 /// Interval at which the holder of a reservation renews it.
-pub const RENEW_EVERY: Duration = Duration::from_secs(2);
+pub const RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
 /// Delay after a failed attempt to form a gang, so that a gang of another home can form.
 pub const REPLAN_DELAY: Duration = Duration::from_millis(300);
 /// Share of an engine's memory that a gang may use, in thousandths.
@@ -72,7 +72,7 @@
     entry: &Entry,
     now: Time,
 ) -> Option<Gang> {
-    let need = entry.ticket.need();
+    let need = entry.ticket.kv_tokens_needed();
     let mut open: Vec<&Engine> = engines.filter(|engine| engine.is_open(now)).collect();
     let smallest = open.iter().map(|engine| usable(engine)).min()?;
     let count = usize::try_from(need.div_ceil(smallest.max(1))).ok()?;
--- a/crates/alderglade-core/src/inflight.rs
+++ b/crates/alderglade-core/src/inflight.rs
@@ -48,7 +48,7 @@
     /// Waits for a slice of its workspace's rate.
     Limited,
     /// Waits for the load of other failure domains, to find one that can serve it.
-    Asking,
+    AwaitingLoad,
     /// Waits in a cell's queue.
     Waiting {
         /// The cell.
@@ -107,7 +107,7 @@
     /// The current stage.
     pub stage: Stage,
     /// When the current stage began.
-    pub staged: Time,
+    pub stage_since: Time,
     /// Cells that have refused the request.
     pub refused_by: Vec<Key>,
     /// Servers that have failed the request.
@@ -143,26 +143,26 @@
     }
 
     /// Returns whether the deadline is earlier than the caller's, because this host is stopping.
-    pub fn is_bounded(&self) -> bool {
+    pub fn is_cut_short(&self) -> bool {
         self.deadline < self.since + self.submission.ticket.time_left
     }
 
     /// Moves the request to another stage at `now`.
     pub fn enter(&mut self, stage: Stage, now: Time) {
         self.stage = stage;
-        self.staged = now;
+        self.stage_since = now;
     }
 }
 
 /// All requests in progress, indexed by deadline.
 #[derive(Debug, Default)]
-pub struct Table {
+pub struct InFlight {
     entries: HashMap<Id, Entry>,
     deadlines: BTreeSet<(Time, Id)>,
     unsent: BTreeSet<Id>,
 }
 
-impl Table {
+impl InFlight {
     /// Returns the number of requests in progress.
     pub fn len(&self) -> usize {
         self.entries.len()
@@ -199,7 +199,7 @@
     }
 
     /// Moves all deadlines after `end` to `end` and returns the affected requests.
-    pub fn bound(&mut self, end: Time) -> Vec<Id> {
+    pub fn cap_deadlines(&mut self, end: Time) -> Vec<Id> {
         let latest_first = self.deadlines.iter().rev();
         let changed: Vec<(Time, Id)> = latest_first
             .take_while(|(at, _)| *at > end)
--- a/crates/alderglade-core/src/lease.rs
+++ b/crates/alderglade-core/src/lease.rs
@@ -15,7 +15,7 @@
 /// Interval at which the holder renews the lease.
 pub const RENEWAL_INTERVAL: Duration = Duration::from_secs(3);
 /// An order takes effect within this time after it was sent. The engine drops it later.
-pub const ORDER_LIFE: Duration = Duration::from_secs(2);
+pub const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The content of the lease object.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -92,13 +92,13 @@
     ///
     /// An engine that doesn't check epochs gets an order only if the order ends before the lease can
     /// expire, and only after the last order of an earlier holder has ended.
-    pub fn may_order(&self, checks_orders: bool, now: Time) -> Option<u64> {
+    pub fn order_epoch(&self, checks_orders: bool, now: Time) -> Option<u64> {
         let held = self.held(now)?;
         if checks_orders {
             return Some(held.epoch);
         }
-        let earlier_orders_ended = now.since(held.since) >= ORDER_LIFE;
-        let outlasts_order = held.until.left(now) > ORDER_LIFE;
+        let earlier_orders_ended = now.since(held.since) >= ORDER_TIMEOUT;
+        let outlasts_order = held.until.left(now) > ORDER_TIMEOUT;
         (earlier_orders_ended && outlasts_order).then_some(held.epoch)
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Applies the lease as read from the platform.
-    pub fn read(&mut self, lease: Versioned, now: Time) {
+    pub fn apply_read(&mut self, lease: Versioned, now: Time) {
         if self.changed_at.is_none() || lease.version != self.last_seen.version {
             self.changed_at = Some(now);
         }
@@ -165,7 +165,7 @@
 
     /// Applies the result of a write that was requested at `asked`. `written` is `None` if the write
     /// failed or its result is unknown.
-    pub fn wrote(&mut self, written: Option<Versioned>, asked: Time, now: Time) {
+    pub fn apply_write(&mut self, written: Option<Versioned>, asked: Time, now: Time) {
         let Some(lease) = written else {
             self.changed_at = None;
             self.last_attempt = None;
--- a/crates/alderglade-core/src/ledger.rs
+++ b/crates/alderglade-core/src/ledger.rs
@@ -15,7 +15,7 @@
 //! receive the result of its write also reads again. Each record names its claimant, so the writer
 //! sees whether its own write took effect.
 
-mod judge;
+mod decide;
 mod shard;
 
 pub use shard::Shard;
@@ -40,7 +40,7 @@
 /// Maximum difference between the clocks of callers and hosts.
 pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(60);
 /// Maximum size in bytes of an answer that is kept for replays.
-pub const KEPT_BODY: usize = 2_048;
+pub const MAX_KEPT_BODY_BYTES: usize = 2_048;
 
 /// A request to record that a non-repeatable request is about to run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -66,7 +66,7 @@
     Answered {
         /// The HTTP status of the answer.
         status: u16,
-        /// The body of the answer, if it has at most [`KEPT_BODY`] bytes.
+        /// The body of the answer, if it has at most [`MAX_KEPT_BODY_BYTES`] bytes.
         body: Option<String>,
     },
     /// It is unknown whether the request ran: the connection to the backend was lost, the time ran
@@ -116,7 +116,7 @@
 
 /// A segment with the version of its object in the platform.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Versioned {
+pub struct VersionedSegment {
     /// The content.
     pub segment: Segment,
     /// The version, which a conditional write has to give.
@@ -184,7 +184,7 @@
 }
 
 /// Returns the number of the object in the ring that stores a segment.
-pub fn slot_of(number: u64) -> u64 {
+pub fn ring_slot(number: u64) -> u64 {
     number % RING_SLOTS
 }
 
--- a/crates/alderglade-core/src/ledger/shard.rs
+++ b/crates/alderglade-core/src/ledger/shard.rs
@@ -1,9 +1,9 @@
 //! The state of a shard at its home: known records, waiting operations and the write in progress.
 
-use super::judge::{self, Step};
+use super::decide::{self, Step};
 use super::{
     Action, COMMIT_INTERVAL, Claim, Record, SEAL_THRESHOLD_BYTES, Segment, Settled, Verdict,
-    Versioned, Written, slot_of,
+    VersionedSegment, Written, ring_slot,
 };
 use crate::Name;
 use crate::error::Kind;
@@ -19,7 +19,7 @@
 /// The known records are current for this long after the last read or write of the shard.
 ///
 /// After that, the segments are read again before a claim is refused because its key is in flight.
-const FRESH: Duration = Duration::from_secs(1);
+const SYNC_MAX_AGE: Duration = Duration::from_secs(1);
 
 /// A request of an entry host to the shard.
 #[derive(Debug, Clone)]
@@ -65,7 +65,7 @@
     sealed: Vec<Sealed>,
     /// The version of each object of the ring, by slot.
     versions: HashMap<u64, u64>,
-    open: Versioned,
+    open: VersionedSegment,
     waiting: VecDeque<Pending>,
     /// The operations whose records are in the write in progress.
     writing: Vec<Pending>,
@@ -97,7 +97,7 @@
             records: HashMap::new(),
             sealed: Vec::new(),
             versions: HashMap::new(),
-            open: Versioned::default(),
+            open: VersionedSegment::default(),
             waiting: VecDeque::new(),
             writing: Vec::new(),
             written: None,
@@ -125,7 +125,7 @@
 
     /// Handles a claim. A claim that already waits is not added again.
     pub fn claim(&mut self, from: &Name, claim: Claim, now: Time, wall_ms: u64) {
-        if let Some(kind) = judge::check_age(&claim, wall_ms) {
+        if let Some(kind) = decide::check_age(&claim, wall_ms) {
             self.answer(from, claim.claimant, Verdict::Refused(kind));
             return;
         }
@@ -155,7 +155,12 @@
     }
 
     /// Handles the end of a read: the segments in the platform, or `None` if the read failed.
-    pub fn read(&mut self, segments: Option<Vec<Versioned>>, now: Time, wall_ms: u64) {
+    pub fn handle_read(
+        &mut self,
+        segments: Option<Vec<VersionedSegment>>,
+        now: Time,
+        wall_ms: u64,
+    ) {
         if !matches!(self.phase, Phase::Reading { .. }) {
             return;
         }
@@ -170,25 +175,25 @@
         self.advance(now, wall_ms);
     }
 
-    fn load(&mut self, mut segments: Vec<Versioned>) {
+    fn load(&mut self, mut segments: Vec<VersionedSegment>) {
         segments.sort_by_key(|versioned| versioned.segment.number);
         self.records.clear();
         self.sealed.clear();
         self.versions.clear();
-        self.open = Versioned::default();
+        self.open = VersionedSegment::default();
         for versioned in segments {
             self.apply_segment(versioned);
         }
     }
 
     /// Adds the records of a segment. Segments have to be added in the order of their numbers.
-    fn apply_segment(&mut self, versioned: Versioned) {
+    fn apply_segment(&mut self, versioned: VersionedSegment) {
         for record in &versioned.segment.records {
             self.records
                 .insert(record.claim.key.clone(), record.clone());
         }
         let number = versioned.segment.number;
-        self.versions.insert(slot_of(number), versioned.version);
+        self.versions.insert(ring_slot(number), versioned.version);
         if versioned.segment.sealed {
             self.sealed.push(Sealed::of(&versioned));
             self.open = self.next_segment(number + 1);
@@ -198,9 +203,9 @@
     }
 
     /// Returns an empty segment with the version that its object now has.
-    fn next_segment(&self, number: u64) -> Versioned {
-        let version = self.versions.get(&slot_of(number)).copied();
-        Versioned {
+    fn next_segment(&self, number: u64) -> VersionedSegment {
+        let version = self.versions.get(&ring_slot(number)).copied();
+        VersionedSegment {
             segment: Segment {
                 number,
                 ..Segment::default()
@@ -211,15 +216,15 @@
 
     /// Returns whether the object of the open segment still stores an older segment that isn't empty.
     fn is_full(&self) -> bool {
-        let slot = slot_of(self.open.segment.number);
+        let slot = ring_slot(self.open.segment.number);
         let mut occupied = self.sealed.iter().filter(|sealed| !sealed.empty);
         occupied.any(|sealed| {
-            slot_of(sealed.number) == slot && sealed.number != self.open.segment.number
+            ring_slot(sealed.number) == slot && sealed.number != self.open.segment.number
         })
     }
 
     /// Handles the end of a write.
-    pub fn wrote(&mut self, written: Written, now: Time, wall_ms: u64) {
+    pub fn handle_write_result(&mut self, written: Written, now: Time, wall_ms: u64) {
         if !matches!(self.phase, Phase::Writing { .. }) {
             return;
         }
@@ -238,7 +243,7 @@
         let Some(segment) = self.written.take() else {
             return;
         };
-        self.apply_segment(Versioned { segment, version });
+        self.apply_segment(VersionedSegment { segment, version });
         for pending in std::mem::take(&mut self.writing) {
             match pending.operation {
                 Operation::Claim(claim) => {
@@ -321,13 +326,13 @@
         }
         let mut segment = self.open.segment.clone();
         let mut batch: HashMap<Name, Record> = HashMap::new();
-        let mut bytes = judge::size(&segment);
+        let mut bytes = decide::size(&segment);
         let mut stale = Vec::new();
         for pending in std::mem::take(&mut self.waiting) {
             let known = |key: &Name| batch.get(key).or(self.records.get(key)).cloned();
-            match judge::decide(&pending.operation, known) {
+            match decide::decide(&pending.operation, known) {
                 Step::Write(record) => {
-                    bytes += judge::record_size(&record);
+                    bytes += decide::record_size(&record);
                     batch.insert(record.claim.key.clone(), record.clone());
                     segment.records.push(record);
                     self.writing.push(pending);
@@ -336,7 +341,7 @@
                     self.answer(&pending.from, pending.operation.claimant(), verdict);
                 }
                 // Another home of the shard may have recorded the outcome in the meantime.
-                Step::InFlight(_) if now.since(self.synced) > FRESH => stale.push(pending),
+                Step::InFlight(_) if now.since(self.synced) > SYNC_MAX_AGE => stale.push(pending),
                 Step::InFlight(claim) => {
                     let verdict = Verdict::Refused(Kind::KeyInFlight);
                     self.answer(&pending.from, pending.operation.claimant(), verdict);
@@ -352,7 +357,7 @@
             }
             return;
         }
-        judge::drop_superseded(&mut segment, wall_ms);
+        decide::drop_superseded(&mut segment, wall_ms);
         segment.sealed = bytes > SEAL_THRESHOLD_BYTES;
         self.writes += 1;
         self.last_write = Some(now);
@@ -376,7 +381,7 @@
         let shard = self.number;
         let before = self.actions.len();
         for sealed in &mut self.sealed {
-            if sealed.empty || !judge::is_expired(sealed.newest_ms, wall_ms) {
+            if sealed.empty || !decide::is_expired(sealed.newest_ms, wall_ms) {
                 continue;
             }
             sealed.empty = true;
@@ -392,14 +397,14 @@
         }
         if self.actions.len() > before {
             self.records
-                .retain(|_, record| !judge::is_expired(record.claim.issued_ms, wall_ms));
+                .retain(|_, record| !decide::is_expired(record.claim.issued_ms, wall_ms));
         }
     }
 
     /// Handles the end of a write that emptied a segment: records the new version of its object.
-    pub fn cleared(&mut self, number: u64, version: u64) {
-        if slot_of(self.open.segment.number) != slot_of(number) {
-            self.versions.insert(slot_of(number), version);
+    pub fn handle_cleared(&mut self, number: u64, version: u64) {
+        if ring_slot(self.open.segment.number) != ring_slot(number) {
+            self.versions.insert(ring_slot(number), version);
         }
     }
 
@@ -419,7 +424,7 @@
 }
 
 impl Sealed {
-    fn of(versioned: &Versioned) -> Sealed {
+    fn of(versioned: &VersionedSegment) -> Sealed {
         let issued = versioned.segment.records.iter().map(|r| r.claim.issued_ms);
         Sealed {
             number: versioned.segment.number,
--- a/crates/alderglade-core/src/lib.rs
+++ b/crates/alderglade-core/src/lib.rs
@@ -6,8 +6,8 @@
 //! thread.
 
 pub mod admission;
-pub mod book;
 pub mod cell;
+pub mod engine_state;
 pub mod error;
 pub mod estimate;
 pub mod fleet;
--- a/crates/alderglade-core/src/limit.rs
+++ b/crates/alderglade-core/src/limit.rs
@@ -79,7 +79,7 @@
     }
 
     /// Returns whether neither requests nor tokens are limited.
-    pub fn is_free(self) -> bool {
+    pub fn is_unlimited(self) -> bool {
         self.0.requests.is_infinite() && self.0.tokens.is_infinite()
     }
 
@@ -194,7 +194,7 @@
     }
 
     /// Adds a slice from the home to the rest of the previous one.
-    pub fn lent(&mut self, slice: Cost, now: Time) {
+    pub fn add_slice(&mut self, slice: Cost, now: Time) {
         let remaining = if now < self.expires_at {
             self.slice
         } else {
--- a/crates/alderglade-core/src/membership.rs
+++ b/crates/alderglade-core/src/membership.rs
@@ -101,7 +101,7 @@
     }
 
     /// Applies the platform's list. It doesn't overwrite cards received in heartbeats.
-    pub fn seed(&mut self, cards: Vec<Card>) {
+    pub fn apply_host_list(&mut self, cards: Vec<Card>) {
         self.seeded = true;
         self.peers.retain(|name, peer| {
             peer.last_heard.is_some() || cards.iter().any(|c| c.name == *name)
@@ -127,7 +127,7 @@
     }
 
     /// Applies a heartbeat. A heartbeat of an older incarnation is dropped.
-    pub fn hear(&mut self, card: Card, now: Time) {
+    pub fn apply_heartbeat(&mut self, card: Card, now: Time) {
         if card.name == self.own.name {
             return;
         }
@@ -158,7 +158,7 @@
     }
 
     /// Records that a host didn't answer.
-    pub fn note_silent(&mut self, name: &Name, now: Time) {
+    pub fn mark_silent(&mut self, name: &Name, now: Time) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.silent_until = now + SILENT_HOST_BACKOFF;
         }
@@ -168,7 +168,7 @@
     ///
     /// The liveness of all peers is extended by that time, because their heartbeats couldn't be
     /// processed.
-    pub fn look(&mut self, now: Time) -> Option<Duration> {
+    pub fn detect_pause(&mut self, now: Time) -> Option<Duration> {
         let gap = now.since(self.last_clock_read);
         self.last_clock_read = now;
         if gap <= MIN_PAUSE {
@@ -180,7 +180,7 @@
 
     /// Advances to `now` and returns the changes in the own domain.
     pub fn tick(&mut self, now: Time) -> Vec<Change> {
-        self.look(now);
+        self.detect_pause(now);
         self.joined = self.has_joined(now);
         let live: BTreeMap<Name, u64> = self
             .live_peers(now)
@@ -266,7 +266,7 @@
     }
 
     /// Returns the names of the other failure domains that have hosts.
-    pub fn far_domains(&self) -> Vec<Name> {
+    pub fn other_domains(&self) -> Vec<Name> {
         let mut domains: Vec<Name> = self
             .peers
             .values()
@@ -290,7 +290,7 @@
 
     /// Returns the home of `key` among the hosts of another domain, without those that recently
     /// didn't answer.
-    pub fn far_home(&self, domain: &Name, key: &str, now: Time) -> Option<Name> {
+    pub fn remote_home(&self, domain: &Name, key: &str, now: Time) -> Option<Name> {
         self.peers
             .values()
             .filter(|peer| peer.card.domain == *domain && !peer.card.leaving)
--- a/crates/alderglade-core/src/node.rs
+++ b/crates/alderglade-core/src/node.rs
@@ -10,13 +10,14 @@
 //!
 //! - `submit` accepts requests, applies rate limits and picks a cell.
 //! - `progress` follows a request from the queue of its cell to its answer.
-//! - `tries` handles the end of an attempt at a backend server and decides on retries.
+//! - `attempts` handles the end of an attempt at a backend server and decides on retries.
 //! - `servers` picks a server for a call to a plain service.
 //! - `homes` runs the cells whose home this host is.
 //! - `peers` exchanges heartbeats, load and settings with other hosts.
 //! - `claims` records non-repeatable requests in the ledger.
 //! - `stop` drains the host.
 
+mod attempts;
 mod claims;
 mod homes;
 mod peers;
@@ -24,13 +25,12 @@
 mod servers;
 mod stop;
 mod submit;
-mod tries;
 
 use crate::Name;
-use crate::book::Report;
 use crate::cell::{Cell, Digest, Key};
-use crate::estimate::Output;
-use crate::inflight::{Submission, Table};
+use crate::engine_state::Report;
+use crate::estimate::OutputLengths;
+use crate::inflight::{InFlight, Submission};
 use crate::ledger;
 use crate::limit::{Loan, Share};
 use crate::membership::{Card, View};
@@ -57,16 +57,16 @@
         request: Id,
     },
     /// An attempt at a backend server ended.
-    Ended {
+    AttemptEnded {
         /// The request.
         request: Id,
         /// The number of the attempt, counted from 1.
         attempt: u32,
         /// The result of the attempt.
-        ended: Ended,
+        ended: AttemptResult,
     },
     /// The caller disconnected or gave up.
-    Gone {
+    CallerGone {
         /// The request.
         request: Id,
     },
@@ -78,7 +78,7 @@
         message: Message,
     },
     /// A message to another host could not be delivered.
-    Silent {
+    HostUnreachable {
         /// The host.
         host: Name,
     },
@@ -107,7 +107,7 @@
         /// The shard.
         shard: u32,
         /// The segments, or `None` if the read failed.
-        segments: Option<Vec<ledger::Versioned>>,
+        segments: Option<Vec<ledger::VersionedSegment>>,
     },
     /// A write of a ledger segment ended.
     SegmentWritten {
@@ -133,7 +133,7 @@
 
 /// The result of an attempt at a backend server.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ended {
+pub enum AttemptResult {
     /// The whole answer was delivered.
     Finished {
         /// Number of tokens in the answer.
@@ -146,9 +146,9 @@
     /// The backend reported that it is leaving; it did not start the request.
     Leaving,
     /// The connection to the backend failed before anything was sent.
-    Unreached,
+    ConnectFailed,
     /// The connection was lost after the request was sent.
-    Broke,
+    ConnectionLost,
     /// The backend reported that the request failed.
     Failed,
     /// The caller's timeout expired.
@@ -259,7 +259,7 @@
     view: View,
     homes: BTreeMap<Key, Cell>,
     loads: HashMap<Key, Load>,
-    inflight: Table,
+    inflight: InFlight,
     rate_shares: HashMap<Name, Share>,
     rate_loans: HashMap<Name, Loan>,
     servers: servers::ServerTable,
@@ -268,7 +268,7 @@
     dropped: HashMap<Id, Time>,
     leaving: peers::LeavingServers,
     budget: Budget,
-    output_estimate: Output,
+    output_estimate: OutputLengths,
     slo: slo::Log,
     stop: Option<stop::Stop>,
     last_heartbeat: Option<Time>,
@@ -292,7 +292,7 @@
             view: View::new(config.card, now),
             homes: BTreeMap::new(),
             loads: HashMap::new(),
-            inflight: Table::default(),
+            inflight: InFlight::default(),
             rate_shares: HashMap::new(),
             rate_loans: HashMap::new(),
             servers: servers::ServerTable::default(),
@@ -301,7 +301,7 @@
             dropped: HashMap::new(),
             leaving: peers::LeavingServers::default(),
             budget: Budget::default(),
-            output_estimate: Output::default(),
+            output_estimate: OutputLengths::default(),
             slo: slo::Log::default(),
             stop: None,
             last_heartbeat: None,
@@ -321,10 +321,10 @@
         self.now = now;
         self.wall_ms = wall_ms;
         // While this process was suspended, it could not receive reports of its engines.
-        if let Some(suspended) = self.view.look(now) {
+        if let Some(suspended) = self.view.detect_pause(now) {
             self.homes
                 .values_mut()
-                .for_each(|cell| cell.forgive(suspended));
+                .for_each(|cell| cell.extend_timeouts(suspended));
         }
         self.handle_event(event);
         while let Some(message) = self.loopback.pop_front() {
@@ -338,14 +338,14 @@
         match event {
             Event::Submit(submission) => self.submit(*submission),
             Event::FirstToken { request } => self.handle_first_token(request),
-            Event::Ended {
+            Event::AttemptEnded {
                 request,
                 attempt,
                 ended,
             } => self.handle_attempt_end(request, attempt, ended),
-            Event::Gone { request } => self.handle_caller_gone(request),
+            Event::CallerGone { request } => self.handle_caller_gone(request),
             Event::Deliver { from, message } => self.handle_message(from, message),
-            Event::Silent { host } => self.view.note_silent(&host, self.now),
+            Event::HostUnreachable { host } => self.view.mark_silent(&host, self.now),
             Event::Report(report) => self.handle_report(&report),
             Event::Reserved {
                 engine,
@@ -431,18 +431,18 @@
     }
 
     /// Returns whether a request is in flight.
-    pub fn has(&self, request: Id) -> bool {
+    pub fn contains(&self, request: Id) -> bool {
         self.inflight.get(request).is_some()
     }
 
     /// Returns whether this host is the one that sends orders to the engines of its failure domain.
-    pub fn gives_orders(&self) -> bool {
+    pub fn is_order_sender(&self) -> bool {
         let home = self.view.home("orders", self.now);
         home == self.view.own().name
     }
 
     /// Returns the last known load of the cells in this host's failure domain, sorted by cell.
-    pub fn near_loads(&self) -> Vec<Digest> {
+    pub fn domain_loads(&self) -> Vec<Digest> {
         let own = &self.view.own().domain;
         let local = self
             .loads
--- a/crates/alderglade-core/src/node/tries.rs
+++ b/crates/alderglade-core/src/node/attempts.rs
@@ -1,7 +1,7 @@
 //! Handles the end of an attempt at a backend server: the answer, or another attempt.
 
 use super::submit::DEFAULT_RETRY_AFTER;
-use super::{Action, Ended, Node};
+use super::{Action, AttemptResult, Node};
 use crate::Name;
 use crate::cell::End;
 use crate::error::Kind;
@@ -17,7 +17,7 @@
 
 impl Node {
     /// Handles the result of an attempt. The result of an older attempt is ignored.
-    pub(super) fn handle_attempt_end(&mut self, request: Id, attempt: u32, ended: Ended) {
+    pub(super) fn handle_attempt_end(&mut self, request: Id, attempt: u32, ended: AttemptResult) {
         let Some(entry) = self.inflight.get(request) else {
             return;
         };
@@ -28,33 +28,40 @@
         self.record_possible_run(request, &ended);
         self.leave_backend(request, &ended);
         match ended {
-            Ended::Finished { tokens, outcome } => {
+            AttemptResult::Finished { tokens, outcome } => {
                 self.record_success(request, tokens);
                 self.record_outcome(request, outcome);
                 self.finish(request, None);
             }
-            Ended::Expired => {
+            AttemptResult::Expired => {
                 self.record_outcome(request, Outcome::Unknown);
                 self.finish(
                     request,
                     Some(Refusal::new(Kind::ExpiredRunning, DEFAULT_RETRY_AFTER)),
                 );
             }
-            Ended::NoRoom | Ended::Leaving | Ended::Unreached => self.retry_unsent(request, &ended),
-            Ended::Broke | Ended::Failed => self.retry_failed(request, &ended),
+            AttemptResult::NoRoom | AttemptResult::Leaving | AttemptResult::ConnectFailed => {
+                self.retry_unsent(request, &ended)
+            }
+            AttemptResult::ConnectionLost | AttemptResult::Failed => {
+                self.retry_failed(request, &ended)
+            }
         }
     }
 
     /// Records that a backend may have started the request, unless the result rules that out.
-    fn record_possible_run(&mut self, request: Id, ended: &Ended) {
-        let unsent = matches!(ended, Ended::NoRoom | Ended::Leaving | Ended::Unreached);
+    fn record_possible_run(&mut self, request: Id, ended: &AttemptResult) {
+        let unsent = matches!(
+            ended,
+            AttemptResult::NoRoom | AttemptResult::Leaving | AttemptResult::ConnectFailed
+        );
         if let Some(entry) = self.inflight.get_mut(request) {
             entry.may_have_run |= !unsent;
         }
     }
 
     /// Releases the engines or the server of an attempt that has ended.
-    fn leave_backend(&mut self, request: Id, ended: &Ended) {
+    fn leave_backend(&mut self, request: Id, ended: &AttemptResult) {
         let Some(entry) = self.inflight.get_mut(request) else {
             return;
         };
@@ -68,7 +75,7 @@
                 engines,
             } => {
                 entry.submission.ticket.avoid = avoid(ended, &engines);
-                if matches!(ended, Ended::Leaving) {
+                if matches!(ended, AttemptResult::Leaving) {
                     self.leaving.record_report(&engines, self.now);
                 }
                 let end = end_of(ended);
@@ -80,12 +87,12 @@
             Place::Server { server } => {
                 let failed = !matches!(
                     ended,
-                    Ended::Finished { .. } | Ended::NoRoom | Ended::Expired
+                    AttemptResult::Finished { .. } | AttemptResult::NoRoom | AttemptResult::Expired
                 );
                 if failed {
                     entry.failed_by.push(server.clone());
                 }
-                if matches!(ended, Ended::Leaving) {
+                if matches!(ended, AttemptResult::Leaving) {
                     self.leaving
                         .record_report(std::slice::from_ref(&server), self.now);
                 }
@@ -96,26 +103,27 @@
 
     /// Credits the retry budget and updates the estimate of answer lengths.
     fn record_success(&mut self, request: Id, tokens: u64) {
-        self.budget.earn();
+        self.budget.record_success();
         let Some(entry) = self.inflight.get(request) else {
             return;
         };
         let workspace = &entry.submission.ticket.workspace;
         self.output_estimate
-            .learn(workspace, &entry.submission.class, tokens);
+            .record(workspace, &entry.submission.class, tokens);
     }
 
     /// Retries a request that the backend did not start.
     ///
     /// This is safe for non-repeatable requests too: the claim stays recorded for this request. Only a
     /// failed connection counts against the retry budget.
-    fn retry_unsent(&mut self, request: Id, ended: &Ended) {
+    fn retry_unsent(&mut self, request: Id, ended: &AttemptResult) {
         let Some(entry) = self.inflight.get(request) else {
             return;
         };
         let attempt = entry.submission.ticket.attempt;
-        let is_free = !matches!(ended, Ended::Unreached);
-        let may_retry = attempt < MAX_UNSTARTED_ATTEMPTS && (is_free || self.budget.spend(attempt));
+        let is_free = !matches!(ended, AttemptResult::ConnectFailed);
+        let may_retry =
+            attempt < MAX_UNSTARTED_ATTEMPTS && (is_free || self.budget.try_spend(attempt));
         if may_retry {
             self.retry(request);
             return;
@@ -130,19 +138,19 @@
     }
 
     /// Retries a request that may have run, if it is repeatable and the retry budget allows it.
-    fn retry_failed(&mut self, request: Id, ended: &Ended) {
+    fn retry_failed(&mut self, request: Id, ended: &AttemptResult) {
         let Some(entry) = self.inflight.get(request) else {
             return;
         };
         let attempt = entry.submission.ticket.attempt;
         let repeatable = entry.submission.repeatable;
-        if repeatable && self.budget.spend(attempt) {
+        if repeatable && self.budget.try_spend(attempt) {
             self.retry(request);
             return;
         }
         self.record_outcome(request, Outcome::Unknown);
         let kind = match ended {
-            Ended::Failed => Kind::BackendFailed,
+            AttemptResult::Failed => Kind::BackendFailed,
             _ if repeatable => Kind::BackendFailed,
             _ => Kind::ContactLost,
         };
@@ -162,25 +170,33 @@
 }
 
 /// Returns whether an engine may still work on an attempt with this result.
-fn may_still_run(ended: &Ended) -> bool {
-    matches!(ended, Ended::Broke | Ended::Failed | Ended::Expired)
+fn may_still_run(ended: &AttemptResult) -> bool {
+    matches!(
+        ended,
+        AttemptResult::ConnectionLost | AttemptResult::Failed | AttemptResult::Expired
+    )
 }
 
 /// Returns the result of an attempt as it is reported to the home of the cell.
-fn end_of(ended: &Ended) -> End {
+fn end_of(ended: &AttemptResult) -> End {
     match ended {
-        Ended::NoRoom => End::NoRoom,
-        Ended::Leaving => End::Leaving,
-        Ended::Unreached | Ended::Broke => End::Failed,
-        Ended::Finished { .. } | Ended::Failed | Ended::Expired => End::Left,
+        AttemptResult::NoRoom => End::NoRoom,
+        AttemptResult::Leaving => End::Leaving,
+        AttemptResult::ConnectFailed | AttemptResult::ConnectionLost => End::Failed,
+        AttemptResult::Finished { .. } | AttemptResult::Failed | AttemptResult::Expired => {
+            End::Left
+        }
     }
 }
 
 /// Returns the engine that the next attempt has to avoid: a single engine that failed or rejected this one.
 ///
 /// No engine is avoided after an attempt at a gang.
-fn avoid(ended: &Ended, engines: &[Name]) -> Option<Name> {
-    let failed = !matches!(ended, Ended::Finished { .. } | Ended::Expired);
+fn avoid(ended: &AttemptResult, engines: &[Name]) -> Option<Name> {
+    let failed = !matches!(
+        ended,
+        AttemptResult::Finished { .. } | AttemptResult::Expired
+    );
     match engines {
         [single] if failed => Some(single.clone()),
         _ => None,
--- a/crates/alderglade-core/src/node/claims.rs
+++ b/crates/alderglade-core/src/node/claims.rs
@@ -67,7 +67,7 @@
         let Some(entry) = self.inflight.get(id) else {
             return;
         };
-        if self.now.since(entry.staged) >= CLAIM_TIMEOUT {
+        if self.now.since(entry.stage_since) >= CLAIM_TIMEOUT {
             self.drop_claim(id, Kind::PlatformUnavailable);
             return;
         }
@@ -79,7 +79,7 @@
             .card(home)
             .is_some_and(|card| card.domain != self.view.own().domain);
         if other_domain {
-            self.view.note_silent(home, self.now);
+            self.view.mark_silent(home, self.now);
         }
         self.resend_claim(id);
     }
@@ -253,20 +253,24 @@
         });
     }
 
-    pub(super) fn handle_segments(&mut self, shard: u32, segments: Option<Vec<ledger::Versioned>>) {
+    pub(super) fn handle_segments(
+        &mut self,
+        shard: u32,
+        segments: Option<Vec<ledger::VersionedSegment>>,
+    ) {
         self.with_shard(shard, |shard, now, wall_ms| {
-            shard.read(segments, now, wall_ms)
+            shard.handle_read(segments, now, wall_ms)
         });
     }
 
     pub(super) fn handle_segment_written(&mut self, shard: u32, written: Written) {
         self.with_shard(shard, |shard, now, wall_ms| {
-            shard.wrote(written, now, wall_ms)
+            shard.handle_write_result(written, now, wall_ms)
         });
     }
 
     pub(super) fn handle_segment_cleared(&mut self, shard: u32, number: u64, version: u64) {
-        self.with_shard(shard, |shard, _, _| shard.cleared(number, version));
+        self.with_shard(shard, |shard, _, _| shard.handle_cleared(number, version));
     }
 
     pub(super) fn tick_claims(&mut self) {
--- a/crates/alderglade-core/src/node/homes.rs
+++ b/crates/alderglade-core/src/node/homes.rs
@@ -2,8 +2,8 @@
 
 use super::{Action, Node};
 use crate::Name;
-use crate::book::Report;
 use crate::cell::{self, Cell, Key};
+use crate::engine_state::Report;
 use crate::message::Message;
 use crate::request::{Id, Ticket};
 
--- a/crates/alderglade-core/src/node/peers.rs
+++ b/crates/alderglade-core/src/node/peers.rs
@@ -164,7 +164,7 @@
             .view
             .live_peers(self.now)
             .any(|card| card.name == sender);
-        self.view.hear(heartbeat.card, self.now);
+        self.view.apply_heartbeat(heartbeat.card, self.now);
         if !same_domain {
             return;
         }
@@ -188,7 +188,7 @@
     }
 
     pub(super) fn handle_host_list(&mut self, cards: Vec<Card>, leaving: Vec<Name>) {
-        self.view.seed(cards);
+        self.view.apply_host_list(cards);
         self.leaving.set_listed(leaving);
         for name in self.leaving.names(self.now) {
             self.homes
@@ -272,16 +272,16 @@
         let Some(entry) = self.inflight.get(request) else {
             return false;
         };
-        let staged = entry.staged;
+        let stage_since = entry.stage_since;
         let own = &self.view.own().domain;
         let fresh = self
             .loads
             .values()
-            .filter(|load| load.digest.cell.domain != *own && load.at >= staged);
+            .filter(|load| load.digest.cell.domain != *own && load.at >= stage_since);
         let mut domains: Vec<&Name> = fresh.map(|load| &load.digest.cell.domain).collect();
         domains.sort();
         domains.dedup();
-        domains.len() >= self.view.far_domains().len()
+        domains.len() >= self.view.other_domains().len()
     }
 
     pub(super) fn handle_message(&mut self, from: Name, message: Message) {
@@ -308,7 +308,7 @@
                 self.with_cell(&cell, |cell, now| cell.first_token(request, now));
             }
             Message::Done { cell, request, end } => {
-                self.with_cell(&cell, |cell, now| cell.done(request, end, now));
+                self.with_cell(&cell, |cell, now| cell.finish(request, end, now));
             }
             Message::Verify {
                 cell,
@@ -319,7 +319,7 @@
                 cell,
                 engine,
                 request,
-            } => self.with_cell(&cell, |cell, now| cell.disown(&engine, request, now)),
+            } => self.with_cell(&cell, |cell, now| cell.free_unneeded(&engine, request, now)),
             Message::Lend { workspace, cost } => self.handle_lend(&from, workspace, cost),
             Message::Lent { workspace, slice } => self.handle_lent(&workspace, slice),
             Message::Unlent {
--- a/crates/alderglade-core/src/node/progress.rs
+++ b/crates/alderglade-core/src/node/progress.rs
@@ -180,7 +180,7 @@
     /// its claim.
     fn abandon(&mut self, request: Id, entry: &Entry) {
         match entry.stage.clone() {
-            Stage::Limited | Stage::Asking => {}
+            Stage::Limited | Stage::AwaitingLoad => {}
             Stage::Waiting { cell, home, .. } => {
                 self.send(&home, Message::Withdraw { cell, request });
             }
@@ -272,7 +272,7 @@
         };
         match entry.stage.clone() {
             Stage::Limited => self.tick_limited(request),
-            Stage::Asking if self.now.since(entry.staged) >= LOAD_TIMEOUT => {
+            Stage::AwaitingLoad if self.now.since(entry.stage_since) >= LOAD_TIMEOUT => {
                 self.place_remote(request);
             }
             Stage::Waiting {
@@ -290,7 +290,7 @@
                 self.follow_home(request, cell, home, queued, due);
             }
             Stage::Claiming { home, sent, .. } => self.tick_claiming(request, &home, sent),
-            Stage::Asking | Stage::Running { .. } => {}
+            Stage::AwaitingLoad | Stage::Running { .. } => {}
         }
     }
 
@@ -299,7 +299,7 @@
     /// A home in another domain that has not confirmed the request by then is marked as silent.
     fn follow_home(&mut self, request: Id, cell: Key, home: Name, queued: bool, due: bool) {
         if due && !queued && cell.domain != self.view.own().domain {
-            self.view.note_silent(&home, self.now);
+            self.view.mark_silent(&home, self.now);
         }
         let moved = self.cell_home(&cell).is_none_or(|new| new != home);
         if moved {
@@ -338,7 +338,7 @@
             let asking = self
                 .inflight
                 .get(request)
-                .is_some_and(|entry| entry.stage == Stage::Asking);
+                .is_some_and(|entry| entry.stage == Stage::AwaitingLoad);
             if asking && self.has_load_of_all_remote_domains(request) {
                 self.place_remote(request);
             }
--- a/crates/alderglade-core/src/node/stop.rs
+++ b/crates/alderglade-core/src/node/stop.rs
@@ -37,7 +37,7 @@
     /// Waiting requests are queued again with their shorter time, so that their homes refuse those
     /// that can't finish in time instead of starting them.
     fn cap_deadlines(&mut self, deadline: Time) {
-        for request in self.inflight.bound(deadline) {
+        for request in self.inflight.cap_deadlines(deadline) {
             let Some(entry) = self.inflight.get(request) else {
                 continue;
             };
@@ -55,7 +55,7 @@
 
     /// Counts a request that expires if the planned stop, not its caller's timeout, set its deadline.
     pub(super) fn count_cut_off(&mut self, entry: &Entry) {
-        if let Some(stop) = self.stop.as_mut().filter(|_| entry.is_bounded()) {
+        if let Some(stop) = self.stop.as_mut().filter(|_| entry.is_cut_short()) {
             stop.cut_off += 1;
         }
     }
@@ -66,7 +66,7 @@
     }
 
     /// Returns the number of requests that were ended because the time limit of the stop was reached.
-    pub fn cut_off(&self) -> usize {
+    pub fn ended_by_drain(&self) -> usize {
         self.stop.as_ref().map_or(0, |stop| stop.cut_off)
     }
 
@@ -85,7 +85,7 @@
 /// deadline: another host can give it more time.
 pub(super) fn as_draining(refusal: Refusal, entry: &Entry) -> Refusal {
     let lacked_time = matches!(refusal.kind, Kind::Overloaded | Kind::ExpiredWaiting);
-    if lacked_time && entry.is_bounded() {
+    if lacked_time && entry.is_cut_short() {
         return Refusal::new(Kind::Draining, DEFAULT_RETRY_AFTER);
     }
     refusal
--- a/crates/alderglade-core/src/node/submit.rs
+++ b/crates/alderglade-core/src/node/submit.rs
@@ -38,7 +38,7 @@
             since: self.now,
             deadline,
             stage: Stage::Limited,
-            staged: self.now,
+            stage_since: self.now,
             refused_by: Vec::new(),
             failed_by: Vec::new(),
             first_token: None,
@@ -46,7 +46,7 @@
             may_have_run: false,
         };
         self.estimate_output(&mut entry);
-        let unlimited = entry.submission.rate.is_free();
+        let unlimited = entry.submission.rate.is_unlimited();
         self.inflight.insert(id, entry);
         if unlimited || self.take_from_share(id) {
             self.place(id);
@@ -60,7 +60,7 @@
         let ticket = &mut entry.submission.ticket;
         ticket.output_expected =
             self.output_estimate
-                .expect(&ticket.workspace, class, ticket.output_cap);
+                .estimate(&ticket.workspace, class, ticket.output_cap);
     }
 
     /// Takes the cost of a request from the slice that this host holds. Returns whether that covers it.
@@ -135,7 +135,7 @@
     pub(super) fn handle_lent(&mut self, workspace: &Name, slice: Cost) {
         let now = self.now;
         if let Some(share) = self.rate_shares.get_mut(workspace) {
-            share.lent(slice, now);
+            share.add_slice(slice, now);
         }
         for id in self.limited_requests(workspace) {
             if self.take_from_share(id) {
@@ -170,7 +170,7 @@
     ///
     /// Adds a delay per request to `retry_after`, so that the callers don't all retry at once.
     fn refuse_limited(&mut self, id: Id, retry_after: Duration) {
-        let spread = retry_after + admission::come_back(retry_after, id) / 2;
+        let spread = retry_after + admission::jittered_retry_after(retry_after, id) / 2;
         self.finish(id, Some(Refusal::new(Kind::LimitExceeded, spread)));
     }
 
@@ -179,14 +179,14 @@
         let Some(entry) = self.inflight.get(id) else {
             return;
         };
-        if self.now.since(entry.staged) < LIMIT_HOME_TIMEOUT {
+        if self.now.since(entry.stage_since) < LIMIT_HOME_TIMEOUT {
             return;
         }
         let ticket = &entry.submission.ticket;
         let (rate, cost) = (entry.submission.rate, Cost::of(ticket.prompt));
         let workspace = ticket.workspace.clone();
         let home = self.limit_home(&workspace);
-        self.view.note_silent(&home, self.now);
+        self.view.mark_silent(&home, self.now);
         let (hosts, now) = (self.view.fleet_count(), self.now);
         let taken = self
             .share(workspace, rate)
@@ -216,9 +216,9 @@
             self.enqueue(id, cell);
             return;
         }
-        let may_ask = entry.refused_by.is_empty() || entry.stage != Stage::Asking;
+        let may_ask = entry.refused_by.is_empty() || entry.stage != Stage::AwaitingLoad;
         if may_ask && self.request_remote_loads() {
-            self.set_stage(id, Stage::Asking);
+            self.set_stage(id, Stage::AwaitingLoad);
             return;
         }
         self.place_remote(id);
@@ -266,7 +266,7 @@
             .values()
             .filter(|load| load.digest.cell.model == ticket.model && load.digest.open > 0)
             .map(|load| load.digest.waits[lane]);
-        admission::come_back(waits.min().unwrap_or(DEFAULT_RETRY_AFTER), id)
+        admission::jittered_retry_after(waits.min().unwrap_or(DEFAULT_RETRY_AFTER), id)
     }
 
     /// Picks a cell of the own domain that has room and has not refused the request.
@@ -288,7 +288,9 @@
     fn has_room(&self, key: &Key, ticket: &Ticket) -> bool {
         let load = self.loads.get(key);
         let fresh = load.filter(|load| self.now.since(load.at) < LOAD_LIFETIME);
-        fresh.is_none_or(|load| load.digest.open > 0 && load.digest.largest >= ticket.need())
+        fresh.is_none_or(|load| {
+            load.digest.open > 0 && load.digest.largest >= ticket.kv_tokens_needed()
+        })
     }
 
     /// Picks a cell of another domain whose last digest shows room and a wait that leaves enough time.
@@ -341,7 +343,7 @@
         if cell.domain == self.view.own().domain {
             return Some(self.view.home(&key, self.now));
         }
-        self.view.far_home(&cell.domain, &key, self.now)
+        self.view.remote_home(&cell.domain, &key, self.now)
     }
 
     /// Sends the request to the home of a cell, to wait in its queue.
@@ -380,7 +382,7 @@
     ///
     /// Returns whether an answer can still be expected.
     fn request_remote_loads(&mut self) -> bool {
-        let domains = self.view.far_domains();
+        let domains = self.view.other_domains();
         if domains.is_empty() {
             return false;
         }
@@ -392,7 +394,7 @@
         }
         self.load_asked_at = Some(self.now);
         for domain in domains {
-            if let Some(host) = self.view.far_home(&domain, "load", self.now) {
+            if let Some(host) = self.view.remote_home(&domain, "load", self.now) {
                 self.send(&host, Message::AskLoad);
             }
         }
@@ -408,6 +410,6 @@
 /// Returns whether a cell has room for the request and its wait is below half of the remaining time.
 fn would_serve(digest: &Digest, ticket: &Ticket) -> bool {
     let wait = digest.waits[ticket.lane.index()];
-    let room = digest.open > 0 && digest.largest >= ticket.need();
+    let room = digest.open > 0 && digest.largest >= ticket.kv_tokens_needed();
     room && wait < ticket.time_left / 2
 }
--- a/crates/alderglade-core/src/placement.rs
+++ b/crates/alderglade-core/src/placement.rs
@@ -6,7 +6,7 @@
 //! with one long prefill per engine at a time. They prefer engines that already run long requests,
 //! so that the other engines stay fast.
 
-use crate::book::{Engine, MAX_CONTEXT_TOKENS};
+use crate::engine_state::{Engine, MAX_CONTEXT_TOKENS};
 use crate::request::Ticket;
 use crate::time::Time;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Config {
     /// Maximum number of short prompt tokens waiting for prefill in one engine.
-    pub window: u64,
+    pub short_window_tokens: u64,
     /// KV memory of an engine that long requests leave free, in thousandths.
     pub headroom_per_mille: u64,
     /// Share of an engine's prefill rate that short requests may use during a long prefill, in thousandths.
@@ -29,7 +29,7 @@
 impl Default for Config {
     fn default() -> Config {
         Config {
-            window: 4_096,
+            short_window_tokens: 4_096,
             headroom_per_mille: 100,
             beside_per_mille: 500,
             spare_per_mille: 10_000,
@@ -157,17 +157,19 @@
 /// Returns whether an engine has room for another short prompt of the typical length.
 pub fn has_room(config: &Config, engine: &Engine) -> bool {
     let backlog = engine.short_backlog();
-    let within_window = backlog == 0 || backlog + TYPICAL_PROMPT_TOKENS <= config.window;
+    let within_window =
+        backlog == 0 || backlog + TYPICAL_PROMPT_TOKENS <= config.short_window_tokens;
     within_window && engine.running.len() < engine.max_batch
 }
 
 /// Returns whether a short request may be granted to an engine now.
 pub fn accepts_short(config: &Config, engine: &Engine, ticket: &Ticket, now: Time) -> bool {
-    let has_room = engine.free() >= ticket.need() && engine.running.len() < engine.max_batch;
+    let has_room =
+        engine.free() >= ticket.kv_tokens_needed() && engine.running.len() < engine.max_batch;
     let backlog = engine.short_backlog();
-    let within_window = backlog == 0 || backlog + ticket.prompt <= config.window;
+    let within_window = backlog == 0 || backlog + ticket.prompt <= config.short_window_tokens;
     let allowed = ticket.avoid.as_ref() != Some(&engine.name);
-    let within_context = engine.context() + ticket.need() <= MAX_CONTEXT_TOKENS;
+    let within_context = engine.context() + ticket.kv_tokens_needed() <= MAX_CONTEXT_TOKENS;
     engine.is_open(now)
         && has_room
         && within_window
@@ -183,13 +185,13 @@
         return true;
     }
     let micros = now.since(engine.long_prefill_since()).as_micros() as u64;
-    let possible = engine.rate * micros / 1_000_000 + config.window;
+    let possible = engine.rate * micros / 1_000_000 + config.short_window_tokens;
     let allowed = possible * config.beside_per_mille / 1_000;
     engine.short_beside_long + ticket.prompt <= allowed
 }
 
 fn accepts_long(config: &Config, engine: &Engine, ticket: &Ticket, now: Time) -> bool {
-    let fits = ticket.need() <= long_room(config, engine);
+    let fits = ticket.kv_tokens_needed() <= long_room(config, engine);
     let allowed = ticket.avoid.as_ref() != Some(&engine.name);
     engine.is_open(now) && fits && allowed
 }
--- a/crates/alderglade-core/src/request.rs
+++ b/crates/alderglade-core/src/request.rs
@@ -67,7 +67,7 @@
 
 impl Ticket {
     /// Returns the KV memory that the request needs, in tokens.
-    pub fn need(&self) -> u64 {
+    pub fn kv_tokens_needed(&self) -> u64 {
         self.prompt + self.output_cap
     }
 }
--- a/crates/alderglade-core/src/retry.rs
+++ b/crates/alderglade-core/src/retry.rs
@@ -24,13 +24,13 @@
 
 impl Budget {
     /// Records a success.
-    pub fn earn(&mut self) {
+    pub fn record_success(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_SUCCESS).min(MAX_TOKENS);
     }
 
     /// Takes one token for a retry of a request that has made `attempt` attempts. Returns `false` if
     /// the budget or the request's attempts are exhausted.
-    pub fn spend(&mut self, attempt: u32) -> bool {
+    pub fn try_spend(&mut self, attempt: u32) -> bool {
         if attempt >= MAX_ATTEMPTS || self.tokens < 1.0 {
             return false;
         }
--- a/crates/alderglade-core/tests/testsuite/cell.rs
+++ b/crates/alderglade-core/tests/testsuite/cell.rs
@@ -3,8 +3,8 @@
 use crate::each_seed;
 use crate::queue::ticket;
 use alderglade_core::Name;
-use alderglade_core::book::{Holding, Report};
 use alderglade_core::cell::{Action, Cell, End, Key};
+use alderglade_core::engine_state::{Holding, Report};
 use alderglade_core::error::Kind;
 use alderglade_core::lane::Lane;
 use alderglade_core::placement::{self, Config};
@@ -125,7 +125,7 @@
     if u.ratio(1, 2)? {
         cell.first_token(running[at], now);
     } else {
-        cell.done(running.swap_remove(at), End::Left, now);
+        cell.finish(running.swap_remove(at), End::Left, now);
     }
     running.extend(grants(cell).into_iter().map(|(id, _)| id));
     Ok(())
@@ -176,8 +176,8 @@
             cell.first_token(id, now);
         }
     }
-    let room = 400_000 - long.need();
-    assert_eq!(granted, room / short(1, 3_000).need());
+    let room = 400_000 - long.kv_tokens_needed();
+    assert_eq!(granted, room / short(1, 3_000).kv_tokens_needed());
 }
 
 #[test]
@@ -247,7 +247,7 @@
         cell.engines().next().map(|engine| engine.free()),
         Some(300_000)
     );
-    cell.disown(&"e000".into(), id, now);
+    cell.free_unneeded(&"e000".into(), id, now);
     assert!(matches!(&cell.take_actions()[..], [Action::Free { .. }]));
     assert_eq!(
         cell.engines().next().map(|engine| engine.free()),
@@ -318,5 +318,5 @@
         .engines()
         .map(|engine| engine.kv_tokens - engine.free())
         .sum();
-    assert_eq!(held, short(1, 1_000).need());
+    assert_eq!(held, short(1, 1_000).kv_tokens_needed());
 }
--- a/crates/alderglade-core/tests/testsuite/lease.rs
+++ b/crates/alderglade-core/tests/testsuite/lease.rs
@@ -1,7 +1,7 @@
 //! Lease and fencing: several candidates, an object store and random delays.
 
 use crate::each_seed;
-use alderglade_core::lease::{Action, Candidate, LEASE_DURATION, ORDER_LIFE, Versioned};
+use alderglade_core::lease::{Action, Candidate, LEASE_DURATION, ORDER_TIMEOUT, Versioned};
 use alderglade_core::time::Time;
 use std::time::Duration;
 
@@ -39,25 +39,25 @@
             }
             let own = now + host.clock_ahead;
             match host.candidate.tick(u.ratio(9, 10)?, own) {
-                Some(Action::Read) => host.candidate.read(store.clone(), own),
+                Some(Action::Read) => host.candidate.apply_read(store.clone(), own),
                 Some(Action::Write(lease)) if u.ratio(1, 8)? => {
                     // The response is lost, but the write may have taken effect.
                     if lease.version == store.version && u.ratio(1, 2)? {
                         store = next(&store, lease);
                     }
-                    host.candidate.wrote(None, own, own);
+                    host.candidate.apply_write(None, own, own);
                 }
                 Some(Action::Write(lease)) if lease.version == store.version => {
                     store = next(&store, lease);
-                    host.candidate.wrote(Some(store.clone()), own, own);
+                    host.candidate.apply_write(Some(store.clone()), own, own);
                 }
-                Some(Action::Write(_)) => host.candidate.wrote(None, own, own),
+                Some(Action::Write(_)) => host.candidate.apply_write(None, own, own),
                 None => {}
             }
-            if let Some(epoch) = host.candidate.may_order(false, own) {
+            if let Some(epoch) = host.candidate.order_epoch(false, own) {
                 if let Some((before, at)) = last_order {
                     assert!(epoch >= before, "epoch {epoch} after {before}");
-                    let overlap = epoch > before && now.since(at) < ORDER_LIFE;
+                    let overlap = epoch > before && now.since(at) < ORDER_TIMEOUT;
                     assert!(
                         !overlap,
                         "an order of epoch {before} may still be in flight"
@@ -82,17 +82,21 @@
     let mut candidate = Candidate::new("h".into(), 1);
     let now = Time::from_millis(1_000);
     assert_eq!(candidate.tick(true, now), Some(Action::Read));
-    candidate.read(Versioned::default(), now);
+    candidate.apply_read(Versioned::default(), now);
     let later = now + LEASE_DURATION;
     let Some(Action::Write(lease)) = candidate.tick(true, later) else {
         panic!("the candidate should take an empty lease");
     };
-    candidate.wrote(Some(next(&Versioned::default(), lease)), later, later);
-    assert!(candidate.may_order(true, later).is_some());
+    candidate.apply_write(Some(next(&Versioned::default(), lease)), later, later);
+    assert!(candidate.order_epoch(true, later).is_some());
     assert!(
-        candidate.may_order(false, later).is_none(),
+        candidate.order_epoch(false, later).is_none(),
         "an earlier holder's orders may be in flight"
     );
-    assert!(candidate.may_order(false, later + ORDER_LIFE).is_some());
+    assert!(
+        candidate
+            .order_epoch(false, later + ORDER_TIMEOUT)
+            .is_some()
+    );
     assert!(candidate.held(later + LEASE_DURATION).is_none());
 }
--- a/crates/alderglade-core/tests/testsuite/ledger.rs
+++ b/crates/alderglade-core/tests/testsuite/ledger.rs
@@ -4,7 +4,7 @@
 use alderglade_core::Name;
 use alderglade_core::error::Kind;
 use alderglade_core::ledger::{
-    Action, Claim, Outcome, Segment, Settled, Shard, Verdict, Versioned, Written, slot_of,
+    Action, Claim, Outcome, Segment, Settled, Shard, Verdict, VersionedSegment, Written, ring_slot,
 };
 use alderglade_core::request::Id;
 use alderglade_core::time::Time;
@@ -16,26 +16,27 @@
 /// A minimal object store with conditional writes.
 #[derive(Default)]
 struct Store {
-    objects: BTreeMap<u64, Versioned>,
+    objects: BTreeMap<u64, VersionedSegment>,
     version: u64,
 }
 
 impl Store {
     fn write(&mut self, version: u64, segment: Segment) -> Written {
-        let slot = slot_of(segment.number);
+        let slot = ring_slot(segment.number);
         if self.objects.get(&slot).map_or(0, |object| object.version) != version {
             return Written::Conflict;
         }
         self.version += 1;
         let version = self.version;
-        self.objects.insert(slot, Versioned { segment, version });
+        self.objects
+            .insert(slot, VersionedSegment { segment, version });
         Written::Done(version)
     }
 }
 
 /// An answer of the store that a home has not received yet.
 enum Reply {
-    Read(Option<Vec<Versioned>>),
+    Read(Option<Vec<VersionedSegment>>),
     Wrote(Written),
     Cleared(u64, u64),
 }
@@ -104,9 +105,9 @@
         let (home, reply) = self.replies.remove(at);
         let (shard, wall_ms) = (&mut self.homes[home], self.wall_ms);
         match reply {
-            Reply::Read(segments) => shard.read(segments, now, wall_ms),
-            Reply::Wrote(written) => shard.wrote(written, now, wall_ms),
-            Reply::Cleared(number, version) => shard.cleared(number, version),
+            Reply::Read(segments) => shard.handle_read(segments, now, wall_ms),
+            Reply::Wrote(written) => shard.handle_write_result(written, now, wall_ms),
+            Reply::Cleared(number, version) => shard.handle_cleared(number, version),
         }
         home
     }
--- a/crates/alderglade-core/tests/testsuite/limit.rs
+++ b/crates/alderglade-core/tests/testsuite/limit.rs
@@ -35,7 +35,7 @@
             continue;
         }
         if let Ok(slice) = loan.lend(rate, cost, now) {
-            shares[host].lent(slice, now);
+            shares[host].add_slice(slice, now);
             started += u64::from(shares[host].take(cost, now));
         }
     }
@@ -69,9 +69,9 @@
     let rate = Rate::new(Some(RATE), None);
     let now = Time::from_millis(1_000);
     let mut share = Share::new(rate, 2, now);
-    share.lent(Cost::of(0), now);
+    share.add_slice(Cost::of(0), now);
     assert!(share.take(Cost::of(0), now));
-    share.lent(Cost::of(0), now);
+    share.add_slice(Cost::of(0), now);
     assert!(!share.take(Cost::of(0), now + SLICE_LIFETIME));
 }
 
--- a/crates/alderglade-core/tests/testsuite/membership.rs
+++ b/crates/alderglade-core/tests/testsuite/membership.rs
@@ -27,7 +27,7 @@
             let mut view = View::new(card(own, "d", 1), now);
             names
                 .iter()
-                .for_each(|other| view.hear(card(other, "d", 1), now));
+                .for_each(|other| view.apply_heartbeat(card(other, "d", 1), now));
             view
         })
         .collect();
@@ -50,14 +50,14 @@
     let now = Time::from_millis(1_000);
     let mut view = View::new(card("h0", "d", 1), now);
     for name in ["h1", "h2", "h3"] {
-        view.hear(card(name, "d", 1), now);
+        view.apply_heartbeat(card(name, "d", 1), now);
     }
     let before: Vec<_> = (0..200)
         .map(|key| view.home(&format!("k{key}"), now))
         .collect();
     let later = now + Duration::from_secs(10);
     for name in ["h1", "h2"] {
-        view.hear(card(name, "d", 1), later);
+        view.apply_heartbeat(card(name, "d", 1), later);
     }
     for (key, old) in before.iter().enumerate() {
         let home = view.home(&format!("k{key}"), later);
@@ -72,13 +72,13 @@
     let mut view = View::new(card("h0", "d", 1), now);
     let mut leaving = card("h1", "d", 2);
     leaving.leaving = true;
-    view.hear(leaving, now);
-    view.hear(card("h1", "d", 1), now);
+    view.apply_heartbeat(leaving, now);
+    view.apply_heartbeat(card("h1", "d", 1), now);
     assert!(view.card(&"h1".into()).expect("a known host").leaving);
     // Leaving stays set for the incarnation and is cleared by the next one.
-    view.hear(card("h1", "d", 2), now);
+    view.apply_heartbeat(card("h1", "d", 2), now);
     assert!(view.card(&"h1".into()).expect("a known host").leaving);
-    view.hear(card("h1", "d", 3), now);
+    view.apply_heartbeat(card("h1", "d", 3), now);
     assert!(!view.card(&"h1".into()).expect("a known host").leaving);
 }
 
@@ -86,7 +86,7 @@
 fn a_stopped_process_does_not_declare_its_peers_dead() {
     let now = Time::from_millis(1_000);
     let mut view = View::new(card("h0", "d", 1), now);
-    view.hear(card("h1", "d", 1), now);
+    view.apply_heartbeat(card("h1", "d", 1), now);
     assert_eq!(view.tick(now), [Change::Joined("h1".into())]);
     let resumed = now + Duration::from_secs(30);
     assert_eq!(view.tick(resumed), []);
@@ -104,9 +104,9 @@
     let now = Time::from_millis(1_000);
     let mut view = View::new(card("h0", "d", 1), now);
     assert!(!view.has_joined(now));
-    view.seed(vec![card("h1", "d", 0), card("far", "e", 0)]);
+    view.apply_host_list(vec![card("h1", "d", 0), card("far", "e", 0)]);
     assert!(!view.has_joined(now));
-    view.hear(card("h1", "d", 1), now);
+    view.apply_heartbeat(card("h1", "d", 1), now);
     assert!(view.has_joined(now));
     let alone = View::new(card("h0", "d", 1), now);
     assert!(alone.has_joined(now + Duration::from_secs(3)));
@@ -122,7 +122,7 @@
             let mut heartbeat = card("h1", "d", 1);
             heartbeat.revision = u.int_in_range(0..=100)?;
             highest = highest.max(heartbeat.revision);
-            view.hear(heartbeat, now);
+            view.apply_heartbeat(heartbeat, now);
             assert_eq!(view.highest_revision(), highest);
         }
         Ok(())
@@ -134,7 +134,7 @@
     let now = Time(0);
     let view_of = |hosts: usize| {
         let mut view = View::new(card("h0", "d", 1), now);
-        (1..hosts).for_each(|n| view.hear(card(&format!("h{n}"), "d", 1), now));
+        (1..hosts).for_each(|n| view.apply_heartbeat(card(&format!("h{n}"), "d", 1), now));
         view.interval()
     };
     assert_eq!(view_of(3), Duration::from_millis(250));
@@ -147,12 +147,12 @@
 fn a_joined_host_stays_joined_when_the_list_grows() {
     let start = Time::from_millis(1_000);
     let mut view = View::new(card("h0", "d", 1), start);
-    view.seed(vec![card("h1", "d", 1)]);
+    view.apply_host_list(vec![card("h1", "d", 1)]);
     assert!(!view.has_joined(start));
-    view.hear(card("h1", "d", 1), start);
+    view.apply_heartbeat(card("h1", "d", 1), start);
     view.tick(start);
     assert!(view.has_joined(start));
-    view.seed(vec![card("h1", "d", 1), card("h2", "d", 1)]);
+    view.apply_host_list(vec![card("h1", "d", 1), card("h2", "d", 1)]);
     view.tick(start);
     assert!(view.has_joined(start));
 }
--- a/crates/alderglade-core/tests/testsuite/node.rs
+++ b/crates/alderglade-core/tests/testsuite/node.rs
@@ -138,7 +138,7 @@
     let is_cancel = |action: &Action| matches!(action, Action::Cancel { .. });
     assert!(ended.iter().any(is_cancel), "{ended:?}");
     assert!(node.is_drained());
-    assert_eq!(node.cut_off(), 1);
+    assert_eq!(node.ended_by_drain(), 1);
 }
 
 #[test]
@@ -149,5 +149,5 @@
     let refused = node.handle(Event::Submit(Box::new(submission())), now, 0);
     assert_eq!(refusal(&refused), Some((Kind::Draining, Ran::No)));
     assert!(node.is_drained());
-    assert_eq!(node.cut_off(), 0);
+    assert_eq!(node.ended_by_drain(), 0);
 }
--- a/crates/alderglade-core/tests/testsuite/request.rs
+++ b/crates/alderglade-core/tests/testsuite/request.rs
@@ -1,7 +1,7 @@
 //! The request life cycle, the table of error kinds, retry times and the retry budget.
 
 use crate::queue::ticket;
-use alderglade_core::admission::come_back;
+use alderglade_core::admission::jittered_retry_after;
 use alderglade_core::error::{Kind, Ran, TABLE};
 use alderglade_core::lane::{LONG_TOKENS, Lane, Priority};
 use alderglade_core::request::{Id, Refusal, Request};
@@ -75,7 +75,7 @@
                 incarnation: 7,
                 serial,
             };
-            come_back(backlog, id)
+            jittered_retry_after(backlog, id)
         })
         .collect();
     assert!(
@@ -94,17 +94,17 @@
     let mut budget = Budget::default();
     let mut retries = 0;
     for _ in 0..1_000 {
-        retries += u32::from(budget.spend(1));
+        retries += u32::from(budget.try_spend(1));
     }
     assert_eq!(retries, 25, "the content of a new budget");
     for _ in 0..1_000 {
-        budget.earn();
-        retries += u32::from(budget.spend(1));
+        budget.record_success();
+        retries += u32::from(budget.try_spend(1));
     }
     assert!(
         (110..=126).contains(&retries),
         "a tenth of the successes: {retries}"
     );
-    (0..1_000).for_each(|_| budget.earn());
-    assert!(!budget.spend(MAX_ATTEMPTS));
+    (0..1_000).for_each(|_| budget.record_success());
+    assert!(!budget.try_spend(MAX_ATTEMPTS));
 }
--- a/crates/alderglade-platform/src/ledger.rs
+++ b/crates/alderglade-platform/src/ledger.rs
@@ -2,17 +2,17 @@
 
 use crate::client::{Client, Error};
 use crate::object::{Object, SEGMENT};
-use alderglade_core::ledger::{Segment, Versioned, Written, slot_of};
+use alderglade_core::ledger::{Segment, VersionedSegment, Written, ring_slot};
 
 /// The label that a shard's segments are listed by.
 const SHARD: &str = "alderglade.io/shard";
 
 /// Reads all segments of a shard; `None` where the platform gives no answer.
-pub fn read(client: &Client, shard: u32) -> Option<Vec<Versioned>> {
+pub fn read(client: &Client, shard: u32) -> Option<Vec<VersionedSegment>> {
     let objects = client
         .list::<Segment>(SEGMENT, Some((SHARD, &shard.to_string())))
         .ok()?;
-    let versioned = |object: Object<Segment>| Versioned {
+    let versioned = |object: Object<Segment>| VersionedSegment {
         version: object.version(),
         segment: object.spec,
     };
@@ -21,7 +21,7 @@
 
 /// Writes a segment if its object still has `version`; `0` means that it must not exist.
 pub fn write(client: &Client, shard: u32, version: u64, segment: Segment) -> Written {
-    let name = format!("s{shard}-{}", slot_of(segment.number));
+    let name = format!("s{shard}-{}", ring_slot(segment.number));
     let mut object = Object::new(SEGMENT, &name, segment);
     object
         .metadata
--- a/crates/alderglade-standin/src/bench.rs
+++ b/crates/alderglade-standin/src/bench.rs
@@ -4,8 +4,8 @@
 
 use crate::fleet::{self, EngineAt};
 use alderglade_core::Name;
-use alderglade_core::book::Report;
 use alderglade_core::cell::{Action, Cell, End, Key};
+use alderglade_core::engine_state::Report;
 use alderglade_core::lane::Lane;
 use alderglade_core::placement;
 use alderglade_core::request::{Id, Ticket};
@@ -91,7 +91,7 @@
             bench.collect();
         }
         if let Some(id) = bench.running.pop_front() {
-            timed(&mut done, || bench.cell.done(id, End::Left, bench.now));
+            timed(&mut done, || bench.cell.finish(id, End::Left, bench.now));
             bench.collect();
         }
     }
--- a/crates/alderglade-standin/src/engine.rs
+++ b/crates/alderglade-standin/src/engine.rs
@@ -9,7 +9,7 @@
 use crate::batch::{Config, Emitted};
 use crate::http::{self, Listening};
 use alderglade_core::Name;
-use alderglade_core::book::Report;
+use alderglade_core::engine_state::Report;
 use alderglade_core::request::Id;
 use alderglade_core::time::Time;
 use model::Model;
--- a/crates/alderglade-standin/src/engine/model.rs
+++ b/crates/alderglade-standin/src/engine/model.rs
@@ -5,7 +5,7 @@
 use crate::batch::{Batch, Config, Emitted, Job};
 use alderglade_backend::wire::{Order, Reason};
 use alderglade_core::Name;
-use alderglade_core::book::{Holding, Report};
+use alderglade_core::engine_state::{Holding, Report};
 use alderglade_core::request::Id;
 use alderglade_core::time::Time;
 use std::collections::BTreeMap;
--- a/crates/alderglade-standin/src/engine/serve.rs
+++ b/crates/alderglade-standin/src/engine/serve.rs
@@ -7,7 +7,7 @@
 use alderglade_backend::wire::{
     Completion, Confirmed, Export, Line, Order, Prefill, Reason, Refusal, Requests, Reserve,
 };
-use alderglade_core::gang::RESERVATION_LIFE;
+use alderglade_core::gang::RESERVATION_TIMEOUT;
 use alderglade_core::request::Id;
 use serde::de::DeserializeOwned;
 use std::io::Write;
@@ -122,7 +122,7 @@
             id: body.request,
             holder: body.holder,
             tokens: body.tokens,
-            lease: RESERVATION_LIFE,
+            lease: RESERVATION_TIMEOUT,
         };
         lock(&self.state).keep.insert(body.request);
         let result = self.open(job, wish);
--- a/crates/alderglade-standin/src/experiment.rs
+++ b/crates/alderglade-standin/src/experiment.rs
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Placement {
-    /// See [`placement::Config::window`].
+    /// See [`placement::Config::short_window_tokens`].
     pub window: Option<u64>,
     /// See [`placement::Config::beside_per_mille`].
     pub beside_per_mille: Option<u64>,
@@ -297,7 +297,7 @@
             ..batch::Config::default()
         },
         placement: placement::Config {
-            window: wanted.window.unwrap_or(defaults.window),
+            short_window_tokens: wanted.window.unwrap_or(defaults.short_window_tokens),
             beside_per_mille: wanted.beside_per_mille.unwrap_or(defaults.beside_per_mille),
             spare_per_mille: wanted.spare_per_mille.unwrap_or(defaults.spare_per_mille),
             isolate: wanted.isolate.unwrap_or(defaults.isolate),
--- a/crates/alderglade-standin/src/measure/ledger.rs
+++ b/crates/alderglade-standin/src/measure/ledger.rs
@@ -69,11 +69,11 @@
             }
             for action in actions {
                 match action {
-                    Action::Read { .. } => shard.read(Some(Vec::new()), now, WALL),
+                    Action::Read { .. } => shard.handle_read(Some(Vec::new()), now, WALL),
                     Action::Write { segment, .. } => {
                         self.writes += 1;
                         self.bytes += json_size(&segment);
-                        shard.wrote(Written::Done(self.writes), now, WALL);
+                        shard.handle_write_result(Written::Done(self.writes), now, WALL);
                     }
                     _ => {}
                 }
--- a/crates/alderglade-standin/src/measure/request.rs
+++ b/crates/alderglade-standin/src/measure/request.rs
@@ -7,7 +7,7 @@
 use alderglade_core::lane::Lane;
 use alderglade_core::ledger::Outcome;
 use alderglade_core::limit::Rate;
-use alderglade_core::node::{Action, Ended, Event, Node};
+use alderglade_core::node::{Action, AttemptResult, Event, Node};
 use alderglade_core::request::{Id, Ticket};
 use alderglade_core::time::Time;
 use std::collections::VecDeque;
@@ -80,10 +80,10 @@
             Action::Start {
                 request, attempt, ..
             } => {
-                let ended = Event::Ended {
+                let ended = Event::AttemptEnded {
                     request,
                     attempt,
-                    ended: Ended::Finished {
+                    ended: AttemptResult::Finished {
                         tokens: 300,
                         outcome: Outcome::Unknown,
                     },
--- a/crates/alderglade-standin/src/world.rs
+++ b/crates/alderglade-standin/src/world.rs
@@ -20,9 +20,9 @@
 use crate::batch;
 use crate::engine::model::Model;
 use alderglade_core::Name;
-use alderglade_core::book::Report;
 use alderglade_core::cell::Key;
-use alderglade_core::node::{Ended, Event};
+use alderglade_core::engine_state::Report;
+use alderglade_core::node::{AttemptResult, Event};
 use alderglade_core::placement;
 use alderglade_core::request::Id;
 use alderglade_core::settings::Tree;
@@ -386,14 +386,14 @@
         live.collect()
     }
 
-    pub(crate) fn end_try(&mut self, request: Id, ended: Ended) {
+    pub(crate) fn end_try(&mut self, request: Id, ended: AttemptResult) {
         let Some(running) = self.running.get_mut(&request) else {
             return;
         };
         running.stream = None;
         let (host, incarnation, attempt) =
             (running.host.clone(), running.incarnation, running.attempt);
-        let event = Event::Ended {
+        let event = Event::AttemptEnded {
             request,
             attempt,
             ended,
--- a/crates/alderglade-standin/src/world/calls.rs
+++ b/crates/alderglade-standin/src/world/calls.rs
@@ -4,7 +4,7 @@
 use super::{Call, Guard, Happening, World};
 use crate::engine::model::Wish;
 use alderglade_core::Name;
-use alderglade_core::gang::{RENEW_EVERY, RESERVATION_LIFE};
+use alderglade_core::gang::{RENEWAL_INTERVAL, RESERVATION_TIMEOUT};
 use alderglade_core::node::Event;
 use alderglade_core::request::Id;
 use std::time::Duration;
@@ -44,7 +44,7 @@
         let lease = if self.is_off(Guard::Sweep) {
             FOR_EVER
         } else {
-            RESERVATION_LIFE
+            RESERVATION_TIMEOUT
         };
         let Some(engine) = self.engines.get_mut(&name) else {
             return;
@@ -136,7 +136,7 @@
 
     /// Gives how often gangs are renewed.
     pub(crate) fn renewal_pause() -> Duration {
-        RENEW_EVERY
+        RENEWAL_INTERVAL
     }
 
     /// Notes an engine's load for later reports.
@@ -203,7 +203,7 @@
         &mut self,
         host: &Name,
         incarnation: u64,
-        mut report: alderglade_core::book::Report,
+        mut report: alderglade_core::engine_state::Report,
     ) {
         report.holdings.clear();
         self.host_event(host, incarnation, Event::Report(report));
--- a/crates/alderglade-standin/src/world/engines.rs
+++ b/crates/alderglade-standin/src/world/engines.rs
@@ -6,7 +6,7 @@
 use crate::engine::model::{Model, Wish};
 use alderglade_backend::gang;
 use alderglade_core::Name;
-use alderglade_core::gang::RESERVATION_LIFE;
+use alderglade_core::gang::RESERVATION_TIMEOUT;
 use alderglade_core::request::Id;
 use alderglade_core::time::Time;
 use std::collections::VecDeque;
@@ -261,7 +261,7 @@
         if last {
             return deadline.left(self.now) + OVERTIME;
         }
-        RESERVATION_LIFE
+        RESERVATION_TIMEOUT
     }
 
     fn start_job(&mut self, name: &Name, job: Job, wish: Wish, request: Id, attempt: u32) {
--- a/crates/alderglade-standin/src/world/hosts.rs
+++ b/crates/alderglade-standin/src/world/hosts.rs
@@ -244,7 +244,7 @@
         let dead = self.hosts.get(&to).is_none_or(|host| host.node.is_none());
         let way = self.way(name, &to).filter(|_| !dead);
         let Some(way) = way else {
-            let event = Box::new(Event::Silent { host: to });
+            let event = Box::new(Event::HostUnreachable { host: to });
             let host = name.clone();
             self.after(
                 SEND_LIMIT,
--- a/crates/alderglade-standin/src/world/platform.rs
+++ b/crates/alderglade-standin/src/world/platform.rs
@@ -2,7 +2,7 @@
 
 use super::{Guard, Happening, World};
 use alderglade_core::Name;
-use alderglade_core::ledger::{Action, Segment, Versioned, Written, slot_of};
+use alderglade_core::ledger::{Action, Segment, VersionedSegment, Written, ring_slot};
 use alderglade_core::node::Event;
 use alderglade_core::settings::Tree;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
     /// A watch that shows settings of long ago.
     pub(crate) stale: Option<Arc<Tree>>,
     pub(crate) tree: Arc<Tree>,
-    segments: BTreeMap<(u32, u64), Versioned>,
+    segments: BTreeMap<(u32, u64), VersionedSegment>,
     version: u64,
     pub(crate) writes: u64,
     pub(crate) reads: u64,
@@ -41,7 +41,7 @@
         self.stale.clone().unwrap_or_else(|| self.tree.clone())
     }
 
-    fn read(&mut self, shard: u32) -> Vec<Versioned> {
+    fn read(&mut self, shard: u32) -> Vec<VersionedSegment> {
         self.reads += 1;
         let of_shard = self.segments.iter().filter(|((of, _), _)| *of == shard);
         of_shard.map(|(_, versioned)| versioned.clone()).collect()
@@ -49,7 +49,7 @@
 
     fn write(&mut self, shard: u32, version: u64, segment: Segment, conditional: bool) -> Written {
         self.writes += 1;
-        let key = (shard, slot_of(segment.number));
+        let key = (shard, ring_slot(segment.number));
         let found = self
             .segments
             .get(&key)
@@ -59,7 +59,8 @@
         }
         self.version += 1;
         let version = self.version;
-        self.segments.insert(key, Versioned { segment, version });
+        self.segments
+            .insert(key, VersionedSegment { segment, version });
         Written::Done(version)
     }
 }
--- a/crates/alderglade-standin/src/world/requests.rs
+++ b/crates/alderglade-standin/src/world/requests.rs
@@ -8,7 +8,7 @@
 use alderglade_core::lane::{Lane, Priority};
 use alderglade_core::ledger::{Claim, Outcome};
 use alderglade_core::limit::Rate;
-use alderglade_core::node::{Ended, Event};
+use alderglade_core::node::{AttemptResult, Event};
 use alderglade_core::request::{Id, Prefix, Refusal, Ticket};
 use alderglade_core::stream::{Assembler, Frame};
 use alderglade_core::time::Time;
@@ -234,20 +234,24 @@
             .as_ref()
             .is_some_and(|stream| stream.member > 0);
         match back {
-            Back::Refused(_) | Back::Unreached if begun => self.end_try(request, Ended::Broke),
+            Back::Refused(_) | Back::Unreached if begun => {
+                self.end_try(request, AttemptResult::ConnectionLost)
+            }
             Back::Token {
                 sequence,
                 attempt,
                 of,
                 last,
             } => self.token(request, of, attempt, sequence, last),
-            Back::Refused(Reason::NoRoom) => self.end_try(request, Ended::NoRoom),
+            Back::Refused(Reason::NoRoom) => self.end_try(request, AttemptResult::NoRoom),
             Back::Refused(Reason::Leaving) | Back::ServerLeaving => {
-                self.end_try(request, Ended::Leaving);
+                self.end_try(request, AttemptResult::Leaving);
+            }
+            Back::Refused(Reason::Fenced | Reason::Failed) => {
+                self.end_try(request, AttemptResult::Failed)
             }
-            Back::Refused(Reason::Fenced | Reason::Failed) => self.end_try(request, Ended::Failed),
-            Back::Broke => self.end_try(request, Ended::Broke),
-            Back::Unreached => self.end_try(request, Ended::Unreached),
+            Back::Broke => self.end_try(request, AttemptResult::ConnectionLost),
+            Back::Unreached => self.end_try(request, AttemptResult::ConnectFailed),
             Back::Answered => self.finish_booking(request),
         }
     }
@@ -322,7 +326,7 @@
             .running
             .get(&request)
             .map(|running| running.host.clone());
-        self.end_try(request, Ended::Finished { tokens, outcome });
+        self.end_try(request, AttemptResult::Finished { tokens, outcome });
         self.running.remove(&request);
         self.ledger.note_answer(request, None, self.now);
         if let (Some(gang), Some(host)) = (gang, host) {
@@ -337,7 +341,7 @@
             status: 200,
             body: Some("confirmed".into()),
         };
-        self.end_try(request, Ended::Finished { tokens: 0, outcome });
+        self.end_try(request, AttemptResult::Finished { tokens: 0, outcome });
         self.running.remove(&request);
         self.ledger.note_answer(request, None, self.now);
     }
@@ -379,7 +383,7 @@
         };
         let (host, incarnation) = (running.host.clone(), running.incarnation);
         self.answer_refusal(request, Refusal::new(kind, Duration::from_secs(1)));
-        self.host_event(&host, incarnation, Event::Gone { request });
+        self.host_event(&host, incarnation, Event::CallerGone { request });
     }
 
     /// A host is gone: its callers lose their connections, engines notice at the next token.
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -136,9 +136,9 @@
 
     /// Says whether a stop that ends cut nothing off, and logs it if it did.
     fn tell_cut_off(&self, over: bool) -> bool {
-        let whole = over && self.node.cut_off() == 0;
+        let whole = over && self.node.ended_by_drain() == 0;
         if !whole {
-            let left = self.node.cut_off() + self.node.inflight();
+            let left = self.node.ended_by_drain() + self.node.inflight();
             event::write(event::CUT_SHORT, &format!("{left} in hand"));
         }
         whole
@@ -166,7 +166,7 @@
                 self.handle(Event::Submit(submission));
             }
             Input::Event(event) => {
-                if let Event::Gone { request } = &event {
+                if let Event::CallerGone { request } = &event {
                     self.threads.remove(request);
                 }
                 self.handle(event);
@@ -179,7 +179,7 @@
     fn handle(&mut self, event: Event) {
         let began = Instant::now();
         let ended = match &event {
-            Event::Ended { request, .. } => Some(*request),
+            Event::AttemptEnded { request, .. } => Some(*request),
             _ => None,
         };
         let now = Time(self.began.elapsed().as_micros() as u64);
@@ -197,7 +197,7 @@
 
     /// Lets the thread of a request go that has nothing more to be told.
     fn forget_finished(&mut self, request: Id) {
-        if !self.node.has(request) {
+        if !self.node.contains(request) {
             self.threads.remove(&request);
         }
     }
@@ -281,7 +281,7 @@
             draining: status.draining,
             tokens,
             polled: self.node.polled_engines(),
-            orders: self.node.gives_orders(),
+            orders: self.node.is_order_sender(),
             status,
             tree,
         };
@@ -304,7 +304,7 @@
             revision: own.revision,
             inflight: self.node.inflight(),
             peers: self.node.view().live_peers(now).cloned().collect(),
-            cells: self.node.near_loads(),
+            cells: self.node.domain_loads(),
             backlog: self.node.homes().map(backlog).collect(),
         }
     }
--- a/src/entry/engines.rs
+++ b/src/entry/engines.rs
@@ -6,7 +6,7 @@
 use alderglade_backend::engine::Client;
 use alderglade_backend::wire::{Requests, Reserve};
 use alderglade_core::Name;
-use alderglade_core::gang::RESERVATION_LIFE;
+use alderglade_core::gang::RESERVATION_TIMEOUT;
 use alderglade_core::node::Event;
 use alderglade_core::request::Id;
 use alderglade_core::settings::Tree;
@@ -87,7 +87,7 @@
                 request,
                 holder,
                 tokens,
-                lease_ms: RESERVATION_LIFE.as_millis() as u64,
+                lease_ms: RESERVATION_TIMEOUT.as_millis() as u64,
             };
             let agreed = client.is_some_and(|client| client.reserve(&body).is_ok());
             let _ = control.send(Input::Event(Event::Reserved {
@@ -127,7 +127,7 @@
 fn requests(request: Id) -> Requests {
     Requests {
         requests: vec![request],
-        lease_ms: RESERVATION_LIFE.as_millis() as u64,
+        lease_ms: RESERVATION_TIMEOUT.as_millis() as u64,
     }
 }
 
--- a/src/entry/orders.rs
+++ b/src/entry/orders.rs
@@ -79,12 +79,12 @@
             None => {}
             Some(Action::Read) => {
                 if let Ok(found) = lease::read(&self.client, &self.domain) {
-                    self.candidate.read(found, self.now());
+                    self.candidate.apply_read(found, self.now());
                 }
             }
             Some(Action::Write(wish)) => {
                 let written = lease::write(&self.client, &self.domain, wish).ok();
-                self.candidate.wrote(written, asked, self.now());
+                self.candidate.apply_write(written, asked, self.now());
             }
         }
     }
@@ -123,7 +123,9 @@
     /// Gives the order that an engine has to have got, if one may be sent now.
     fn wanted(&self, tree: &Tree, engine: &tree::Engine) -> Option<Order> {
         let model = tree.fleet.models.get(&engine.model)?;
-        let epoch = self.candidate.may_order(engine.checks_orders, self.now())?;
+        let epoch = self
+            .candidate
+            .order_epoch(engine.checks_orders, self.now())?;
         Some(Order {
             epoch,
             model: engine.model.clone(),
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -147,7 +147,7 @@
                 from,
                 message: *message,
             },
-            Incoming::Silent { host } => Event::Silent { host },
+            Incoming::Silent { host } => Event::HostUnreachable { host },
         };
         let _ = control.send(Input::Event(event));
     });
--- a/src/entry/traffic.rs
+++ b/src/entry/traffic.rs
@@ -21,7 +21,7 @@
 use alderglade_core::lane::Lane;
 use alderglade_core::ledger::Claim;
 use alderglade_core::limit::Rate;
-use alderglade_core::node::{Ended, Event};
+use alderglade_core::node::{AttemptResult, Event};
 use alderglade_core::request::{self, Id, Prefix, Refusal, Ticket};
 use alderglade_core::time::Time;
 use alderglade_operator::event;
@@ -208,8 +208,8 @@
         let _ = self.control.send(input);
     }
 
-    fn ended(&self, request: Id, attempt: u32, ended: Ended) {
-        self.tell(Input::Event(Event::Ended {
+    fn ended(&self, request: Id, attempt: u32, ended: AttemptResult) {
+        self.tell(Input::Event(Event::AttemptEnded {
             request,
             attempt,
             ended,
@@ -217,7 +217,7 @@
     }
 
     fn gone(&self, request: Id) {
-        self.tell(Input::Event(Event::Gone { request }));
+        self.tell(Input::Event(Event::CallerGone { request }));
     }
 }
 
--- a/src/entry/traffic/call.rs
+++ b/src/entry/traffic/call.rs
@@ -9,8 +9,8 @@
 use alderglade_core::Name;
 use alderglade_core::error::Kind;
 use alderglade_core::inflight::Work;
-use alderglade_core::ledger::{Claim, KEPT_BODY, Outcome};
-use alderglade_core::node::Ended;
+use alderglade_core::ledger::{Claim, MAX_KEPT_BODY_BYTES, Outcome};
+use alderglade_core::node::AttemptResult;
 use alderglade_core::request::Refusal;
 use std::sync::Arc;
 
@@ -110,7 +110,7 @@
                 return replay(traffic, &mut answer, &mut pending, outcome);
             }
             Instruction::Start { attempt, .. } => {
-                traffic.ended(pending.id, attempt, Ended::Unreached);
+                traffic.ended(pending.id, attempt, AttemptResult::ConnectFailed);
             }
         }
     }
@@ -144,10 +144,10 @@
             finish(traffic, answer, pending, attempt, status, &body);
             return true;
         }
-        End::Broke if late => Ended::Expired,
-        End::Leaving => Ended::Leaving,
-        End::Unreached => Ended::Unreached,
-        End::Broke => Ended::Broke,
+        End::Broke if late => AttemptResult::Expired,
+        End::Leaving => AttemptResult::Leaving,
+        End::Unreached => AttemptResult::ConnectFailed,
+        End::Broke => AttemptResult::ConnectionLost,
     };
     traffic.ended(pending.id, attempt, ended);
     false
@@ -161,10 +161,14 @@
     status: u16,
     body: &str,
 ) {
-    let kept = (body.len() <= KEPT_BODY).then(|| body.to_string());
+    let kept = (body.len() <= MAX_KEPT_BODY_BYTES).then(|| body.to_string());
     let outcome = Outcome::Answered { status, body: kept };
     let tokens = 0;
-    traffic.ended(pending.id, attempt, Ended::Finished { tokens, outcome });
+    traffic.ended(
+        pending.id,
+        attempt,
+        AttemptResult::Finished { tokens, outcome },
+    );
     traffic.metrics.count_answer("finished");
     answer.pass_on(pending.id, status, body);
 }
--- a/src/entry/traffic/generate.rs
+++ b/src/entry/traffic/generate.rs
@@ -13,10 +13,10 @@
 use alderglade_clock::Instant;
 use alderglade_core::Name;
 use alderglade_core::error::Kind;
-use alderglade_core::gang::RENEW_EVERY;
+use alderglade_core::gang::RENEWAL_INTERVAL;
 use alderglade_core::inflight::Work;
 use alderglade_core::ledger::Outcome;
-use alderglade_core::node::{Ended, Event};
+use alderglade_core::node::{AttemptResult, Event};
 use alderglade_core::request::{Id, Prefix, Refusal};
 use alderglade_core::stream::{Assembler, Frame};
 use alderglade_operator::metrics::length_label;
@@ -151,7 +151,7 @@
                 Instruction::Replay(outcome) => return self.replay(outcome),
                 Instruction::Call { attempt, .. } => {
                     self.traffic
-                        .ended(self.pending.id, attempt, Ended::Unreached);
+                        .ended(self.pending.id, attempt, AttemptResult::ConnectFailed);
                 }
             }
         }
@@ -171,12 +171,12 @@
                 self.traffic.metrics.count_answer(Kind::CallerGone.label());
                 return true;
             }
-            End::Broke if late => Ended::Expired,
-            End::NoRoom => Ended::NoRoom,
-            End::Leaving => Ended::Leaving,
-            End::Unreached => Ended::Unreached,
-            End::Broke => Ended::Broke,
-            End::Failed => Ended::Failed,
+            End::Broke if late => AttemptResult::Expired,
+            End::NoRoom => AttemptResult::NoRoom,
+            End::Leaving => AttemptResult::Leaving,
+            End::Unreached => AttemptResult::ConnectFailed,
+            End::Broke => AttemptResult::ConnectionLost,
+            End::Failed => AttemptResult::Failed,
         };
         self.traffic.ended(id, attempt, ended);
         false
@@ -190,10 +190,10 @@
             .claim
             .is_some()
             .then(|| std::mem::take(&mut self.text));
-        let body = body.filter(|text| text.len() <= alderglade_core::ledger::KEPT_BODY);
+        let body = body.filter(|text| text.len() <= alderglade_core::ledger::MAX_KEPT_BODY_BYTES);
         let outcome = Outcome::Answered { status: 200, body };
         self.traffic
-            .ended(id, attempt, Ended::Finished { tokens, outcome });
+            .ended(id, attempt, AttemptResult::Finished { tokens, outcome });
         self.pending.turn(Life::finish);
         self.answer
             .close(200, &Closing::finished(id, self.pending.usage));
@@ -368,7 +368,7 @@
         thread::spawn(move || {
             while !over.load(Ordering::Relaxed) && Instant::now() < until {
                 engines.renew(request, &members);
-                thread::sleep(RENEW_EVERY);
+                thread::sleep(RENEWAL_INTERVAL);
             }
         });
         Some(renewal)
