--- a/crates/alderglade-core/src/fleet/directory.rs
+++ b/crates/alderglade-core/src/fleet/directory.rs
@@ -1,24 +1,26 @@
-//! The backend servers known: who lives, who leaves, who may only seem gone.
+//! The directory of known backend servers: which are alive, which are leaving, and which may only appear to be gone.
 //!
-//! The platform drops entries that weren't renewed, also while it was away itself. An entry missing
-//! right after such a time is kept for [`GRACE`]; if it isn't back by then, the server is gone.
+//! The platform drops entries that are not renewed, including while the store itself is unavailable. An entry that is
+//! missing right after such an outage is kept for [`STORE_RETURN_GRACE`]; if it has not been written again by then, the
+//! server is gone.
 //!
-//! A server may start again under its id. The newest incarnation known counts: what is said of an older one changes
-//! nothing, and that an older one was leaving doesn't concern the new one.
+//! A server may restart under the same id. Only the newest known incarnation counts: facts about an older one change
+//! nothing, and an older one that was leaving does not make the new one leave.
 //!
-//! The store may come back from a copy some seconds old. What servers have written since is missing for [`GRACE`], and
-//! servers that have gone stand there again: these are held back until they write, or have outlasted [`STALE_ENTRY_HOLD`].
+//! The store may be restored from a copy that is some seconds old. Entries written since the copy are missing for up to
+//! [`STORE_RETURN_GRACE`], and servers that have gone since are listed again. The latter are held back until they write
+//! their entry or their entry has outlasted [`STALE_ENTRY_HOLD`].
 //!
-//! New work goes to no server of a failure domain that is evacuated. That is no property of the server: the digest by which
-//! hosts compare what they know of the servers leaves it out.
+//! No new work goes to servers in an evacuated failure domain. Evacuation is not a property of a server, so the digest
+//! that hosts compare to check that they know the same servers leaves it out.
 
 mod departed;
-mod followed;
 mod leavers;
 mod server;
+mod store_sync;
 
-pub use followed::Restored;
 pub use server::{Change, Cold, Listing, Restart, Server};
+pub use store_sync::Restored;
 
 use super::faults::{self, Fault, Faults};
 use super::incarnation::{Incarnation, Key};
@@ -31,35 +33,35 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long an entry that lapsed while the store was away may take to come back; the users say
+/// How long an entry that lapsed while the store was unavailable may take to be written again. Servers write it within
 /// about two seconds.
 pub const STORE_RETURN_GRACE: Duration = Duration::from_millis(2_000);
 
-/// How long a server that has gone is held back where it stands in a copy of the store: the platform drops the entry of
-/// one that is silent after three heartbeats of 1.2 s, so that whose entry still stands after five of them writes it.
+/// How long a departed server that a restored copy of the store lists again is held back. The platform drops the entry of
+/// a silent server after three heartbeats of 1.2 s, so a server whose entry remains after five of them is writing it.
 pub const STALE_ENTRY_HOLD: Duration = Duration::from_millis(6_000);
 
-/// A server that is known.
+/// A known server and the state of its store entry.
 #[derive(Debug, Clone)]
 struct Entry {
     server: Server,
-    /// Whether the store names the server as one to use: its entry can be read, and is of this incarnation.
-    named: bool,
-    /// By when an entry that is missing in the store must be back.
+    /// Whether the store lists the server for use: its entry is readable and belongs to this incarnation.
+    is_listed: bool,
+    /// Deadline by which an entry that is missing from the store must be written again.
     missing_until: Option<Time>,
-    /// Until when a server is held back that had gone and stands in a copy of the store.
+    /// Until when the server is held back, if it had gone and was listed again by a copy of the store.
     held_until: Option<Time>,
 }
 
 impl Entry {
-    /// Says whether new work may go to the server.
-    fn is_open(&self) -> bool {
-        self.named && !self.server.leaving && self.held_until.is_none()
+    /// Returns whether new work may go to the server.
+    fn accepts_work(&self) -> bool {
+        self.is_listed && !self.server.leaving && self.held_until.is_none()
     }
 
-    /// Gives what the entry adds to the directory's digest: nothing where no new work may go there.
+    /// Returns the entry's part of the directory's digest: zero if the server accepts no new work.
     fn digest(&self) -> u64 {
-        if self.is_open() {
+        if self.accepts_work() {
             self.server.key().number()
         } else {
             0
@@ -67,59 +69,58 @@
     }
 }
 
-/// How the store told of a server.
+/// How the store reported a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Source {
-    /// Its entry stands there, whoever wrote it when.
+    /// The entry is listed; when it was written is unknown.
     List,
-    /// Its entry was written.
+    /// The entry was just written.
     Write,
 }
 
-/// The servers, as one host knows them.
+/// The servers known to one host.
 #[derive(Debug, Default)]
 pub struct Directory {
     entries: BTreeMap<Name, Entry>,
-    /// The ids of the incarnations that are known.
+    /// Server ids by the keys of the known incarnations.
     ids: HashMap<Key, Name>,
-    /// How far the store is known.
+    /// Store position up to which changes have been applied.
     position: Position,
     /// Whether the store has listed the servers.
     listed: bool,
-    /// Until when entries may be missing in the store although their servers live.
+    /// Until when entries may be missing from the store although their servers are alive.
     grace_until: Option<Time>,
-    /// The same as it was when the store was lost, to go on with if it was away for a moment only.
-    grace_before: Option<Time>,
-    /// The sum of the entries' digests, kept with each change: every notice tells it.
+    /// `grace_until` as it was when contact to the store was lost. Restored if the outage was too short for entries to lapse.
+    grace_before_outage: Option<Time>,
+    /// Sum of the entries' digests, updated with each change because every notice carries it.
     digest: u64,
-    /// The servers that have started again since this was last asked.
+    /// Servers that have restarted since the last [`Directory::take_restarts`].
     restarts: Vec<Restart>,
-    /// The entries that can't be read.
+    /// Entries that can't be parsed.
     faults: Faults,
-    /// The servers that have gone lately.
+    /// Servers that have recently gone.
     departed: Departed,
-    /// The servers that have said lately that they leave.
+    /// Servers that have recently announced that they are leaving.
     leavers: Leavers,
-    /// What the last list of a new era has shown, until it is asked for.
+    /// Findings from the first list of the latest era, until [`Directory::take_restored`] returns them.
     restored: Option<Restored>,
-    /// The failure domains to whose servers nothing new is sent.
+    /// Failure domains whose servers receive no new work.
     evacuated: BTreeSet<Name>,
-    /// The servers that have said since this was last asked that they are cold.
+    /// Servers that have reported being cold since the last [`Directory::take_cold`].
     cold_servers: Vec<Cold>,
 }
 
 impl Directory {
-    /// Notes that the store gives no answer: entries that are missing from now on may have lapsed.
+    /// Records that the store stopped responding: entries that go missing from now on may only have lapsed.
     pub fn store_lost(&mut self) {
-        self.grace_before = self.grace_until;
+        self.grace_before_outage = self.grace_until;
         self.grace_until = Some(Time::NEVER);
     }
 
-    /// Notes that the store answers again after a time without contact; `lapsed` says whether it was
-    /// away for so long that entries may have lapsed meanwhile.
+    /// Records that the store responds again. `lapsed` is whether the outage was long enough for entries to have lapsed.
     pub fn store_returned(&mut self, now: Time, lapsed: bool) {
         if !lapsed {
-            self.grace_until = self.grace_before.take();
+            self.grace_until = self.grace_before_outage.take();
             return;
         }
         let until = now + STORE_RETURN_GRACE;
@@ -129,18 +130,20 @@
         }
     }
 
-    /// Notes on a peer's word that entries may be missing for a while although their servers live.
+    /// Extends the grace period at the request of a peer: until then entries may be missing although their servers are
+    /// alive.
     pub fn extend_grace(&mut self, until: Time) {
         self.grace_until = self.grace_until.max(Some(until));
     }
 
-    /// Gives how much longer entries may be missing although their servers live.
+    /// Returns how much longer entries may be missing although their servers are alive. Zero while the store is
+    /// unavailable, because the end of the grace period is then unknown.
     pub fn grace_left(&self, now: Time) -> Duration {
         let until = self.grace_until.filter(|until| *until != Time::NEVER);
         until.map_or(Duration::ZERO, |until| until.left(now))
     }
 
-    /// Takes the whole list, as of `now`.
+    /// Replaces the known servers by a full list from the store.
     pub fn replace(&mut self, listing: Listing, now: Time) {
         let listed = listing.servers.iter().map(|server| server.id());
         let unreadable = listing.unreadable.iter().map(|fault| &fault.name);
@@ -148,31 +151,31 @@
         let known = self.entries.keys();
         let missing: Vec<Name> = known.filter(|id| !listed.contains(*id)).cloned().collect();
         for id in &missing {
-            self.lose(id, now);
+            self.handle_missing(id, now);
         }
         self.faults.retain(&listing.unreadable);
         for fault in &listing.unreadable {
-            self.close(fault);
+            self.mark_unreadable(fault);
         }
         for server in listing.servers {
-            self.learn(server, Source::List);
+            self.upsert(server, Source::List);
         }
     }
 
-    /// Takes one change.
+    /// Applies one change from the store.
     pub fn apply(&mut self, change: Change, now: Time) {
         match change {
-            Change::Known(server) => self.learn(server, Source::Write),
-            Change::Unreadable(fault) => self.close(&fault),
+            Change::Known(server) => self.upsert(server, Source::Write),
+            Change::Unreadable(fault) => self.mark_unreadable(&fault),
             Change::Gone(id) => {
                 self.faults.clear(&id);
-                self.lose(&id, now);
+                self.handle_missing(&id, now);
             }
         }
     }
 
-    /// Takes a server's own word that it was born then. One that has started again is used on, if it was used before: it
-    /// answers where it did, and the store may be away.
+    /// Applies a birth time that the server itself reported. A restarted server that was in use stays in use: it responds
+    /// at the same address, and the store may be unavailable.
     pub fn observe_birth(&mut self, id: &str, born: u64) {
         let Some(entry) = self.entries.get(id) else {
             return;
@@ -182,7 +185,7 @@
             return;
         }
         self.insert(Entry {
-            named: entry.is_open(),
+            is_listed: entry.accepts_work(),
             server: Server {
                 incarnation: now,
                 leaving: false,
@@ -193,161 +196,164 @@
         });
     }
 
-    /// Says whether a server has started again after an incarnation.
+    /// Returns whether a newer incarnation of the same server is known.
     pub fn is_superseded(&self, incarnation: &Incarnation) -> bool {
         let entry = self.entries.get(&incarnation.id);
         entry.is_some_and(|entry| entry.server.incarnation.supersedes(incarnation))
     }
 
-    /// Gives the servers that have started again since the last call.
+    /// Returns the servers that have restarted since the last call.
     pub fn take_restarts(&mut self) -> Vec<Restart> {
         std::mem::take(&mut self.restarts)
     }
 
-    /// Gives what is new of entries that can't be read since the last call.
+    /// Returns the changes to the set of unreadable entries since the last call.
     pub fn take_fault_news(&mut self) -> faults::News {
         self.faults.take_news()
     }
 
-    /// Drops the servers whose time to come back has passed, and takes up those that were held back for long enough; says
-    /// whether there was any.
+    /// Drops the servers whose grace period has passed and admits those that were held back for long enough. Returns
+    /// whether there were any.
     pub fn expire(&mut self, now: Time) -> bool {
         self.departed.expire(now);
-        let entries = &self.ids;
-        self.leavers.expire(|key| entries.contains_key(&key), now);
-        let is_over = |until: Option<Time>| until.is_some_and(|until| until <= now);
-        let missing = self.ids_where(|entry| is_over(entry.missing_until));
+        let ids = &self.ids;
+        self.leavers.expire(|key| ids.contains_key(&key), now);
+        let is_past = |until: Option<Time>| until.is_some_and(|until| until <= now);
+        let missing = self.ids_where(|entry| is_past(entry.missing_until));
         for id in &missing {
-            self.depart(id, now);
+            self.remove_departed(id, now);
         }
-        let held = self.ids_where(|entry| is_over(entry.held_until));
+        let held = self.ids_where(|entry| is_past(entry.held_until));
         for id in &held {
             self.departed.clear(id);
-            self.hold(id, None);
+            self.hold_back(id, None);
         }
         !missing.is_empty() || !held.is_empty()
     }
 
-    fn ids_where(&self, holds: impl Fn(&Entry) -> bool) -> Vec<Name> {
-        let entries = self.entries.iter().filter(|(_, entry)| holds(entry));
+    fn ids_where(&self, predicate: impl Fn(&Entry) -> bool) -> Vec<Name> {
+        let entries = self.entries.iter().filter(|(_, entry)| predicate(entry));
         entries.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Holds a server back until a time, or no longer.
-    fn hold(&mut self, id: &str, until: Option<Time>) {
+    /// Holds a server back until the given time; `None` admits it.
+    fn hold_back(&mut self, id: &str, until: Option<Time>) {
         if let Some(mut entry) = self.remove(id) {
             entry.held_until = until;
             self.insert(entry);
         }
     }
 
-    /// Marks an incarnation of a server as leaving, on its own word or a peer's; says whether that is news. It stays so
-    /// when its entry lapses and comes back.
+    /// Marks an incarnation of a server as leaving, as reported by the server itself or by a peer. Returns whether this was
+    /// unknown. The mark persists when the entry lapses and is written again.
     pub fn mark_leaving(&mut self, key: Key, now: Time) -> bool {
-        self.leavers.note(key, now);
+        self.leavers.record(key, now);
         let Some(entry) = self.entry_mut(key) else {
             return false;
         };
         let before = entry.digest();
-        let news = !std::mem::replace(&mut entry.server.leaving, true);
+        let is_new = !std::mem::replace(&mut entry.server.leaving, true);
         self.digest = self.digest.wrapping_sub(before);
-        news
+        is_new
     }
 
-    /// Lists the servers that are leaving.
+    /// Returns the servers that are leaving.
     pub fn leaving(&self) -> Vec<Key> {
-        let leaving = self.entries.values().filter(|e| e.server.leaving);
+        let leaving = self.entries.values().filter(|entry| entry.server.leaving);
         leaving.map(|entry| entry.server.key()).collect()
     }
 
-    /// Gives a digest of the servers that new work may go to; the same for every host that knows the same.
+    /// Returns a digest of the servers that accept new work. Hosts that know the same servers have the same digest.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Takes the failure domains to whose servers nothing new is sent; gives those before.
+    /// Sets the failure domains whose servers receive no new work. Returns the previous ones.
     pub fn evacuate(&mut self, domains: BTreeSet<Name>) -> BTreeSet<Name> {
         std::mem::replace(&mut self.evacuated, domains)
     }
 
-    /// Gives the servers that have said since the last call that they are cold.
+    /// Returns the servers that have reported being cold since the last call.
     pub fn take_cold(&mut self) -> Vec<Cold> {
         std::mem::take(&mut self.cold_servers)
     }
 
-    /// Gives a server that new work may go to.
+    /// Returns a server if new work may go to it.
     pub fn get(&self, key: Key) -> Option<&Server> {
         let server = self.active(key)?;
-        self.is_reachable(server).then_some(server)
+        self.is_domain_open(server).then_some(server)
     }
 
-    /// Gives a server that is known, listed and not leaving, whether its failure domain is evacuated or not.
+    /// Returns a server if it is listed and not leaving, whether or not its failure domain is evacuated.
     pub fn active(&self, key: Key) -> Option<&Server> {
         let entry = self.entries.get(self.ids.get(&key)?)?;
-        entry.is_open().then_some(&entry.server)
+        entry.accepts_work().then_some(&entry.server)
     }
 
-    /// Says whether nothing forbids work in a server's failure domain.
-    fn is_reachable(&self, server: &Server) -> bool {
+    /// Returns whether the server's failure domain is not evacuated.
+    fn is_domain_open(&self, server: &Server) -> bool {
         !self.evacuated.contains(&server.domain)
     }
 
-    /// Says whether an incarnation of a server is known and not over, whether it takes new work or not.
+    /// Returns whether an incarnation of a server is known and current, whether or not it accepts new work.
     pub fn knows(&self, key: Key) -> bool {
         self.ids.contains_key(&key)
     }
 
-    /// Gives the server that is reached at an address; of several, one that new work may go to.
+    /// Returns the server at an address. If there are several, one that accepts new work is preferred.
     pub fn at(&self, address: SocketAddr) -> Option<&Server> {
         let entries = self.entries.values();
         entries
             .filter(|entry| entry.server.address == address)
-            .min_by_key(|entry| !entry.is_open())
+            .min_by_key(|entry| !entry.accepts_work())
             .map(|entry| &entry.server)
     }
 
-    /// Lists the servers of a service that new work may go to, in the order of their ids.
+    /// Returns the servers of a service that accept new work, ordered by id.
     pub fn of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Server> {
         self.active_of(service)
-            .filter(|server| self.is_reachable(server))
+            .filter(|server| self.is_domain_open(server))
     }
 
-    /// Lists the servers of a service that are listed and not leaving, those of evacuated failure domains among them.
+    /// Returns the servers of a service that are listed and not leaving, including those in evacuated failure domains.
     pub fn active_of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Server> {
         self.all_active()
             .filter(move |server| &*server.service == service)
     }
 
-    /// Lists all servers that are known, in the order of their ids, whether they take new work or not.
+    /// Returns all known servers ordered by id, whether or not they accept new work.
     pub fn all(&self) -> impl Iterator<Item = &Server> {
         self.entries.values().map(|entry| &entry.server)
     }
 
-    /// Lists all servers that are listed and not leaving, in the order of their ids.
+    /// Returns all servers that are listed and not leaving, ordered by id.
     fn all_active(&self) -> impl Iterator<Item = &Server> {
-        let open = self.entries.values().filter(|entry| entry.is_open());
-        open.map(|entry| &entry.server)
+        let active = self.entries.values().filter(|entry| entry.accepts_work());
+        active.map(|entry| &entry.server)
     }
 
-    /// Lists the servers of a failure domain that are listed and not leaving.
+    /// Returns the servers of a failure domain that are listed and not leaving.
     pub fn active_in<'a>(&'a self, domain: &'a str) -> impl Iterator<Item = &'a Server> {
         self.all_active()
             .filter(move |server| &*server.domain == domain)
     }
 
-    /// Gives the number of servers known whose entries can be read.
+    /// Returns the number of known servers with readable entries.
     pub fn len(&self) -> usize {
-        self.entries.values().filter(|entry| entry.named).count()
+        self.entries
+            .values()
+            .filter(|entry| entry.is_listed)
+            .count()
     }
 
-    /// Says whether no such server is known.
+    /// Returns whether no server with a readable entry is known.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Takes a server's entry, unless it is of an incarnation before the one that is known. An incarnation that once
-    /// said that it leaves doesn't come back.
-    fn learn(&mut self, mut server: Server, source: Source) {
+    /// Inserts or updates a server from its store entry, unless a newer incarnation is known. An incarnation that once
+    /// announced that it is leaving stays so.
+    fn upsert(&mut self, mut server: Server, source: Source) {
         self.faults.clear(server.id());
         let mut held_until = None;
         if let Some(known) = self.entries.get(server.id()) {
@@ -355,11 +361,13 @@
             if known.server.incarnation.supersedes(&server.incarnation) {
                 return;
             }
-            let same = known.server.incarnation == server.incarnation;
-            server.leaving |= same && known.server.leaving;
-            held_until = known.held_until.filter(|_| same && source == Source::List);
+            let is_same = known.server.incarnation == server.incarnation;
+            server.leaving |= is_same && known.server.leaving;
+            held_until = known
+                .held_until
+                .filter(|_| is_same && source == Source::List);
         }
-        server.leaving |= self.leavers.has(server.key());
+        server.leaving |= self.leavers.contains(server.key());
         if source == Source::Write {
             self.departed.clear(server.id());
         }
@@ -372,25 +380,25 @@
         }
         self.insert(Entry {
             server,
-            named: true,
+            is_listed: true,
             missing_until: None,
             held_until,
         });
     }
 
-    /// Takes that a server's entry can't be read.
-    fn close(&mut self, fault: &Fault) {
+    /// Takes a server out of use because its store entry can't be parsed.
+    fn mark_unreadable(&mut self, fault: &Fault) {
         self.faults.note(fault);
         let Some(entry) = self.entries.get_mut(&fault.name) else {
             return;
         };
         let before = entry.digest();
-        entry.named = false;
+        entry.is_listed = false;
         entry.missing_until = None;
         self.digest = self.digest.wrapping_sub(before);
     }
 
-    /// Puts an entry in the place of the one with its id, and notes where that ends a lifetime.
+    /// Inserts an entry in place of the one with the same id. Records a restart if it is of a newer incarnation.
     fn insert(&mut self, entry: Entry) {
         let id = entry.server.id().clone();
         if let Some(former) = self.remove(&id) {
@@ -406,7 +414,7 @@
         self.entries.insert(id, entry);
     }
 
-    /// Drops a server, and gives what was known of it.
+    /// Removes a server and returns its entry.
     fn remove(&mut self, id: &str) -> Option<Entry> {
         let entry = self.entries.remove(id)?;
         self.digest = self.digest.wrapping_sub(entry.digest());
@@ -414,10 +422,10 @@
         Some(entry)
     }
 
-    /// Drops a server that has gone.
-    fn depart(&mut self, id: &str, now: Time) {
+    /// Removes a server that has gone and remembers that it did.
+    fn remove_departed(&mut self, id: &str, now: Time) {
         if let Some(entry) = self.remove(id) {
-            self.departed.note(entry.server.incarnation, now);
+            self.departed.record(entry.server.incarnation, now);
         }
     }
 
@@ -425,11 +433,11 @@
         self.entries.get_mut(self.ids.get(&key)?)
     }
 
-    /// Takes that a server's entry is gone; the server is kept for a while where the entry may come back.
-    fn lose(&mut self, id: &str, now: Time) {
-        let doubtful_until = self.grace_until.filter(|until| *until > now);
-        match doubtful_until {
-            None => self.depart(id, now),
+    /// Handles an entry that is missing from the store. During a grace period the server is kept until its end.
+    fn handle_missing(&mut self, id: &str, now: Time) {
+        let grace_until = self.grace_until.filter(|until| *until > now);
+        match grace_until {
+            None => self.remove_departed(id, now),
             Some(until) => {
                 if let Some(entry) = self.entries.get_mut(id) {
                     entry.missing_until.get_or_insert(until);
--- a/crates/alderglade-core/src/fleet/directory/leavers.rs
+++ b/crates/alderglade-core/src/fleet/directory/leavers.rs
@@ -1,34 +1,34 @@
-//! The servers that have said that they leave: an entry that lapses and is written again doesn't take that back.
+//! Servers that have announced that they are leaving. An entry that lapses and is written again doesn't revoke that.
 
 use crate::fleet::incarnation::Key;
 use crate::time::Time;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long it is remembered of a server whose entry is gone: longer than the store is away, and than a leaving server
-/// serves on.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// How long the announcement is kept after the server's entry is gone. This exceeds both an outage of the store and the
+/// time for which a leaving server goes on serving.
+const RETENTION: Duration = Duration::from_secs(60);
 
-/// The lifetimes that leave, and when that was last said.
+/// Leaving incarnations, with the time of the last announcement.
 #[derive(Debug, Default)]
 pub(super) struct Leavers {
-    heard: HashMap<Key, Time>,
+    announced: HashMap<Key, Time>,
 }
 
 impl Leavers {
-    /// Notes that a lifetime leaves.
-    pub(super) fn note(&mut self, server: Key, now: Time) {
-        self.heard.insert(server, now);
+    /// Records that an incarnation is leaving.
+    pub(super) fn record(&mut self, server: Key, now: Time) {
+        self.announced.insert(server, now);
     }
 
-    /// Says whether a lifetime leaves.
-    pub(super) fn has(&self, server: Key) -> bool {
-        self.heard.contains_key(&server)
+    /// Returns whether an incarnation is leaving.
+    pub(super) fn contains(&self, server: Key) -> bool {
+        self.announced.contains_key(&server)
     }
 
-    /// Forgets what lies long back of servers that are not known any more.
+    /// Forgets announcements of unknown servers that are older than [`RETENTION`].
     pub(super) fn expire(&mut self, is_known: impl Fn(Key) -> bool, now: Time) {
-        self.heard
-            .retain(|server, heard| is_known(*server) || now.since(*heard) < REMEMBERED);
+        self.announced
+            .retain(|server, at| is_known(*server) || now.since(*at) < RETENTION);
     }
 }
--- a/crates/alderglade-core/src/fleet/directory/server.rs
+++ b/crates/alderglade-core/src/fleet/directory/server.rs
@@ -1,4 +1,4 @@
-//! A backend server and what the store says of it.
+//! A backend server and its entry in the store.
 
 use crate::Name;
 use crate::fleet::faults::Fault;
@@ -7,73 +7,73 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// One backend server in one of its lifetimes.
+/// One incarnation of a backend server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Server {
-    /// Which start of which server it is.
+    /// Server id and birth time.
     pub incarnation: Incarnation,
-    /// The service that it serves.
+    /// The service that it belongs to.
     pub service: Name,
-    /// Where it is reached.
+    /// Address that requests are sent to.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: Name,
-    /// The requests that it works on at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it has said that it leaves.
+    /// Whether it has announced that it is leaving.
     pub leaving: bool,
-    /// How much longer it was cold when it wrote its entry, in milliseconds.
+    /// Time for which it stays cold, in milliseconds from when it wrote its entry.
     pub cold_ms: u32,
 }
 
-/// A server that is cold.
+/// A server that has reported being cold.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Cold {
     /// The server.
     pub server: Key,
     /// Its service.
     pub service: Name,
-    /// How long it stays cold.
+    /// Time for which it stays cold.
     pub span: Duration,
 }
 
 impl Server {
-    /// Gives the server's id.
+    /// Returns the server's id.
     pub fn id(&self) -> &Name {
         &self.incarnation.id
     }
 
-    /// Gives the key of facts about this incarnation.
+    /// Returns the key of this incarnation.
     pub fn key(&self) -> Key {
         self.incarnation.key()
     }
 }
 
-/// What changed about a server.
+/// A change to the entry of one server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// It is new or its entry says something else.
+    /// The entry is new or has been rewritten.
     Known(Server),
-    /// Its entry can't be read, and so names no server to use.
+    /// The entry can't be parsed, so the server must not be used.
     Unreadable(Fault),
-    /// Its entry is gone.
+    /// The entry was removed.
     Gone(Name),
 }
 
-/// All that the store lists of servers.
+/// A full list of the server entries in the store.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Listing {
-    /// The servers.
+    /// Servers with readable entries.
     pub servers: Vec<Server>,
-    /// The entries that can't be read.
+    /// Entries that can't be parsed.
     pub unreadable: Vec<Fault>,
 }
 
-/// A server that has started again.
+/// A restart of a server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Restart {
-    /// The lifetime that is over.
+    /// The server in the incarnation that has ended.
     pub former: Server,
-    /// The one that goes on.
+    /// The new incarnation.
     pub now: Incarnation,
 }
--- a/crates/alderglade-core/src/fleet/directory/followed.rs
+++ b/crates/alderglade-core/src/fleet/directory/store_sync.rs
@@ -1,35 +1,35 @@
-//! What the store lists and tells as changed, as far as a position; and what a list of a new era shows.
+//! Following the store: lists and changes up to a position, and the first list of a new era.
 
 use super::{Change, Directory, Listing, STALE_ENTRY_HOLD, STORE_RETURN_GRACE, Server};
 use crate::Name;
 use crate::fleet::position::Position;
 use crate::time::Time;
 
-/// What the first list of a new era has shown.
+/// Findings from the first list of a new era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Restored {
-    /// How far the store was known before.
+    /// Position that was known before.
     pub former: Position,
-    /// How far the list goes.
+    /// Position of the list.
     pub position: Position,
-    /// Servers that are missing, and may be back within [`GRACE`].
+    /// Number of servers that are missing and kept for [`STORE_RETURN_GRACE`].
     pub missing: usize,
-    /// Servers that have gone and stand there again.
+    /// Number of departed servers that are listed again and held back for [`STALE_ENTRY_HOLD`].
     pub held_back: usize,
 }
 
 impl Directory {
-    /// Gives how far the store is known.
+    /// Returns the store position up to which changes have been applied.
     pub fn position(&self) -> Position {
         self.position
     }
 
-    /// Says whether the store has listed the servers.
+    /// Returns whether a list from the store has been applied.
     pub fn is_listed(&self) -> bool {
         self.listed
     }
 
-    /// Takes the whole list of the servers as far as a position; says whether it did, or knows more already.
+    /// Applies a full list of the servers as of `position`. Returns `false` if a later position is known already.
     pub fn take_list(&mut self, listing: Listing, position: Position, now: Time) -> bool {
         if self.listed && position < self.position {
             return false;
@@ -44,13 +44,13 @@
         true
     }
 
-    /// Says whether the changes between two positions are the next ones: not known yet, and of one history with what is.
+    /// Returns whether the changes between two positions come next: they are not known yet and continue the known history.
     pub fn needs_changes(&self, after: Position, position: Position) -> bool {
-        let one_history = after.era == position.era && after.joins(self.position);
-        one_history && position > self.position
+        let is_same_history = after.era == position.era && after.joins(self.position);
+        is_same_history && position > self.position
     }
 
-    /// Takes the changes between two positions, if they are the next ones; says whether they are.
+    /// Applies the changes between two positions if they come next. Returns whether they do.
     pub fn apply_changes(
         &mut self,
         after: Position,
@@ -68,35 +68,35 @@
         true
     }
 
-    /// Takes that another host, which knows the store as far as a position, knows the servers with this digest. Where that
-    /// is of another era, only a list tells which of them are missing.
+    /// Advances to the position of another host if its servers have the same digest. A position of another era is ignored,
+    /// because only a list shows which servers are missing then.
     pub fn confirm(&mut self, digest: u64, position: Position) {
         if digest == self.digest && position.era == self.position.era {
             self.position = self.position.max(position);
         }
     }
 
-    /// Gives what the first list of a new era has shown, once.
+    /// Returns the findings from the first list of a new era, once.
     pub fn take_restored(&mut self) -> Option<Restored> {
         self.restored.take()
     }
 
-    /// Takes the first whole list of a new era, from a copy of the store: what was written since may be back soon, and
-    /// what has gone since may stand there again.
+    /// Applies the first full list of a new era, which comes from a copy of the store. Entries written since the copy may
+    /// soon be written again, and servers that have gone since may be listed again.
     fn restore(&mut self, listing: Listing, position: Position, now: Time) {
         self.extend_grace(now + STORE_RETURN_GRACE);
-        let gone = |server: &&Server| {
-            !self.entries.contains_key(server.id()) && self.departed.has(&server.incarnation)
+        let has_departed = |server: &&Server| {
+            !self.entries.contains_key(server.id()) && self.departed.contains(&server.incarnation)
         };
-        let gone: Vec<Name> = listing
+        let departed: Vec<Name> = listing
             .servers
             .iter()
-            .filter(gone)
-            .map(|s| s.id().clone())
+            .filter(has_departed)
+            .map(|server| server.id().clone())
             .collect();
         self.replace(listing, now);
-        for id in &gone {
-            self.hold(id, Some(now + STALE_ENTRY_HOLD));
+        for id in &departed {
+            self.hold_back(id, Some(now + STALE_ENTRY_HOLD));
         }
         let missing = self
             .entries
@@ -106,7 +106,7 @@
             former: self.position,
             position,
             missing: missing.count(),
-            held_back: gone.len(),
+            held_back: departed.len(),
         });
     }
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/directory.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/directory.rs
@@ -1,4 +1,4 @@
-//! Backend servers that come, leave, crash and lapse while the store is away.
+//! Backend servers that start, leave, crash, or whose entries lapse while the store is unavailable.
 
 use super::{key, server};
 use crate::each_seed;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_server_that_leaves_gets_nothing_more_and_never_comes_back() {
+fn a_leaving_server_gets_no_new_work_and_stays_leaving() {
     let mut directory = known(&["a", "b"]);
     directory.apply(Change::Known(server("a", true)), Time(1));
     assert_eq!(usable(&directory), ["b"]);
@@ -39,24 +39,25 @@
 }
 
 #[test]
-fn a_peers_word_is_enough_to_stop_using_a_server() {
+fn a_peers_report_stops_the_use_of_a_leaving_server() {
     let mut directory = known(&["a", "b"]);
     assert!(directory.mark_leaving(key("a"), Time(1)));
-    assert!(!directory.mark_leaving(key("a"), Time(2)), "it is known");
+    assert!(!directory.mark_leaving(key("a"), Time(2)), "already known");
     assert!(!directory.mark_leaving(key("unknown"), Time(1)));
     assert_eq!(usable(&directory), ["b"]);
     assert_eq!(directory.leaving(), [key("a")]);
 }
 
-/// The store is away for so long that a leaving server's entry lapses, and the server, which serves on, writes it again.
+/// The store is unavailable for so long that a leaving server's entry lapses, and the server, which is still serving,
+/// writes it again.
 #[test]
-fn a_server_that_leaves_does_so_after_its_entry_has_lapsed() {
+fn a_server_stays_leaving_after_its_entry_has_lapsed() {
     let mut directory = known(&["a", "b"]);
     directory.mark_leaving(key("a"), Time(1));
     directory.apply(Change::Gone("a".into()), Time(2));
     directory.apply(Change::Known(server("a", false)), Time(3));
     assert_eq!(usable(&directory), ["b"]);
-    // What was told of a server before its entry is known counts as well.
+    // A report that arrives before the entry is known counts as well.
     directory.mark_leaving(key("c"), Time(4));
     directory.expire(Time(5));
     directory.apply(Change::Known(server("c", false)), Time(6));
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn an_entry_that_goes_while_the_store_answers_is_gone_at_once() {
+fn an_entry_removed_while_the_store_responds_is_dropped_at_once() {
     let mut directory = known(&["a", "b"]);
     directory.apply(Change::Gone("a".into()), Time(1));
     assert_eq!(usable(&directory), ["b"]);
@@ -73,26 +74,26 @@
 }
 
 #[test]
-fn an_entry_that_lapsed_with_the_store_away_has_two_seconds_to_come_back() {
+fn an_entry_that_lapsed_during_an_outage_is_kept_for_the_grace_period() {
     let mut directory = known(&["a", "b", "c"]);
     directory.store_lost();
-    let back = Time::from_millis(9_000);
-    directory.store_returned(back, true);
-    directory.replace(listing(vec![server("c", false)]), back);
+    let returned = Time::from_millis(9_000);
+    directory.store_returned(returned, true);
+    directory.replace(listing(vec![server("c", false)]), returned);
     assert_eq!(usable(&directory), ["a", "b", "c"]);
     directory.apply(
         Change::Known(server("a", false)),
-        back + STORE_RETURN_GRACE / 2,
+        returned + STORE_RETURN_GRACE / 2,
     );
-    assert!(!directory.expire(back + STORE_RETURN_GRACE - Duration::from_millis(1)));
-    assert!(directory.expire(back + STORE_RETURN_GRACE));
+    assert!(!directory.expire(returned + STORE_RETURN_GRACE - Duration::from_millis(1)));
+    assert!(directory.expire(returned + STORE_RETURN_GRACE));
     assert_eq!(usable(&directory), ["a", "c"]);
 }
 
-/// From a hunt: the second of two watches told the store's return three seconds after the first, and a
-/// server that had left meanwhile was kept two seconds more.
+/// The second of two watches reported the store's return three seconds after the first, and a server that had left in
+/// between was kept for two more seconds.
 #[test]
-fn an_entry_that_goes_after_the_time_to_come_back_is_gone_at_once() {
+fn an_entry_removed_after_the_grace_period_is_dropped_at_once() {
     let mut directory = known(&["a", "b"]);
     directory.store_lost();
     directory.store_returned(Time::from_millis(1_000), true);
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn a_moment_without_the_store_raises_no_doubt() {
+fn a_short_outage_starts_no_grace_period() {
     let mut directory = known(&["a", "b"]);
     directory.store_lost();
     directory.store_returned(Time(5), false);
@@ -111,21 +112,21 @@
 }
 
 #[test]
-fn with_the_store_away_again_the_time_to_come_back_starts_anew() {
+fn another_outage_restarts_the_grace_period() {
     let mut directory = known(&["a"]);
     directory.store_lost();
     directory.store_returned(Time(0), true);
     directory.apply(Change::Gone("a".into()), Time(1));
     directory.store_lost();
-    let back = Time(0) + STORE_RETURN_GRACE * 3;
-    directory.store_returned(back, true);
-    assert!(!directory.expire(back + STORE_RETURN_GRACE / 2));
-    assert!(directory.expire(back + STORE_RETURN_GRACE));
+    let returned = Time(0) + STORE_RETURN_GRACE * 3;
+    directory.store_returned(returned, true);
+    assert!(!directory.expire(returned + STORE_RETURN_GRACE / 2));
+    assert!(directory.expire(returned + STORE_RETURN_GRACE));
 }
 
-/// However a host has come to know its servers, its digest is that of one that has just listed them.
+/// However a host has learnt of its servers, its digest equals that of a host that has just listed them.
 #[test]
-fn the_digest_is_that_of_the_servers_that_are_open() {
+fn the_digest_covers_the_servers_that_accept_work() {
     each_seed(120, |u| {
         let mut directory = Directory::default();
         for step in 0..u.int_in_range(1..=60)? {
--- a/crates/alderglade-core/tests/testsuite/fleet/restored.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/restored.rs
@@ -1,5 +1,5 @@
-//! A store that comes back from a copy, as hosts see it that follow it at different paces: revisions go back and are given
-//! out again, and what hosts tell each other of a former era comes late, twice, in another order, or never.
+//! A store that is restored from a copy, followed by hosts at different paces. Revisions go back and are assigned again,
+//! and messages between hosts about a former era arrive late, twice, out of order, or never.
 
 use super::{empty_notice, server};
 use crate::each_seed;
@@ -23,16 +23,16 @@
     }
 }
 
-fn open(directory: &Directory) -> BTreeSet<String> {
+fn active_ids(directory: &Directory) -> BTreeSet<String> {
     let servers = directory.of_service("llm");
     servers.map(|server| server.id().to_string()).collect()
 }
 
-fn named(ids: &[&str]) -> BTreeSet<String> {
+fn id_set(ids: &[&str]) -> BTreeSet<String> {
     ids.iter().map(ToString::to_string).collect()
 }
 
-/// A directory that has listed some servers in the first era.
+/// Creates a directory that has listed the given servers in the first era.
 fn listed(ids: &[&str]) -> Directory {
     let mut directory = Directory::default();
     assert!(directory.take_list(listing(ids), Position::new(1, 100), Time(0)));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_later_era_is_later_whatever_its_revisions() {
+fn a_later_era_is_later_at_any_revision() {
     assert!(Position::new(2, 1) > Position::new(1, 900));
     assert!(Position::new(1, 901) > Position::new(1, 900));
     assert!(!Position::new(2, 1).joins(Position::new(1, 900)));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_list_of_a_former_era_changes_nothing() {
+fn a_list_of_a_former_era_is_ignored() {
     let mut directory = listed(&["a"]);
     assert!(directory.take_list(listing(&["b"]), Position::new(2, 7), Time(0)));
     assert!(!directory.take_list(listing(&["a"]), Position::new(1, 800), Time(0)));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn changes_of_another_history_are_not_taken() {
+fn changes_of_another_history_are_rejected() {
     let mut directory = listed(&["a"]);
     let gone = [Change::Gone("a".into())];
     let (now, known) = (Time(0), Position::new(1, 100));
@@ -71,12 +71,12 @@
     for (after, position) in wrong {
         assert!(!directory.apply_changes(after, &gone, position, now));
     }
-    assert_eq!(open(&directory), named(&["a"]));
+    assert_eq!(active_ids(&directory), id_set(&["a"]));
     assert!(directory.apply_changes(known, &gone, Position::new(1, 101), now));
 }
 
 #[test]
-fn another_hosts_position_of_another_era_is_not_taken_over() {
+fn a_position_of_another_era_is_not_adopted_from_a_peer() {
     let mut directory = listed(&["a"]);
     let digest = directory.digest();
     directory.confirm(digest, Position::new(2, 4));
@@ -86,78 +86,78 @@
 }
 
 #[test]
-fn who_is_missing_in_the_copy_has_a_while_to_come_back() {
+fn a_server_missing_from_the_copy_is_kept_for_the_grace_period() {
     let mut directory = listed(&["a", "b", "c"]);
     let now = Time::from_millis(5_000);
     directory.take_list(listing(&["a"]), Position::new(2, 40), now);
     let restored = directory.take_restored().expect("a new era");
     assert_eq!((restored.missing, restored.held_back), (2, 0));
     assert_eq!(directory.take_restored(), None);
-    assert_eq!(open(&directory), named(&["a", "b", "c"]));
+    assert_eq!(active_ids(&directory), id_set(&["a", "b", "c"]));
     directory.apply(
         Change::Known(server("b", false)),
         now + STORE_RETURN_GRACE / 2,
     );
     directory.expire(now + STORE_RETURN_GRACE);
-    assert_eq!(open(&directory), named(&["a", "b"]));
+    assert_eq!(active_ids(&directory), id_set(&["a", "b"]));
 }
 
 #[test]
-fn a_short_outage_after_the_copy_takes_none_of_that_while() {
+fn a_short_outage_after_a_restore_does_not_shorten_the_grace_period() {
     let mut directory = listed(&["a"]);
     directory.take_list(listing(&["a", "b"]), Position::new(2, 40), Time(0));
     directory.store_lost();
     directory.store_returned(Time::from_millis(300), false);
     directory.apply(Change::Gone("a".into()), Time::from_millis(400));
-    assert_eq!(open(&directory), named(&["a", "b"]));
+    assert_eq!(active_ids(&directory), id_set(&["a", "b"]));
     directory.expire(Time::from_millis(2_000));
-    assert_eq!(open(&directory), named(&["b"]));
+    assert_eq!(active_ids(&directory), id_set(&["b"]));
 }
 
 #[test]
-fn who_had_gone_and_stands_in_the_copy_waits_until_it_writes() {
+fn a_departed_server_in_the_copy_is_held_back_until_it_writes() {
     let mut directory = listed(&["a", "b"]);
     directory.apply(Change::Gone("b".into()), Time(0));
     let now = Time::from_millis(3_000);
     directory.take_list(listing(&["a", "b"]), Position::new(2, 40), now);
     assert_eq!(
-        directory.take_restored().map(|seen| seen.held_back),
+        directory.take_restored().map(|restored| restored.held_back),
         Some(1)
     );
-    assert_eq!(open(&directory), named(&["a"]));
-    // Another list of the same era, as after forgotten history, says nothing new of it.
+    assert_eq!(active_ids(&directory), id_set(&["a"]));
+    // Another list of the same era, as after the store has dropped its history, doesn't admit it.
     directory.take_list(listing(&["a", "b"]), Position::new(2, 44), now);
-    assert_eq!(open(&directory), named(&["a"]));
+    assert_eq!(active_ids(&directory), id_set(&["a"]));
     directory.apply(Change::Known(server("b", false)), now);
-    assert_eq!(open(&directory), named(&["a", "b"]));
+    assert_eq!(active_ids(&directory), id_set(&["a", "b"]));
 }
 
 #[test]
-fn who_had_gone_and_outlasts_its_heartbeats_lives() {
+fn a_departed_server_whose_entry_outlasts_its_heartbeats_is_admitted() {
     let mut directory = listed(&["a", "b"]);
     directory.apply(Change::Gone("b".into()), Time(0));
     let now = Time::from_millis(3_000);
     directory.take_list(listing(&["a", "b"]), Position::new(2, 40), now);
     assert!(!directory.expire(now + STALE_ENTRY_HOLD - Duration::from_millis(1)));
     assert!(directory.expire(now + STALE_ENTRY_HOLD));
-    assert_eq!(open(&directory), named(&["a", "b"]));
+    assert_eq!(active_ids(&directory), id_set(&["a", "b"]));
 }
 
 #[test]
-fn a_host_that_starts_in_a_later_era_is_not_taken_for_its_former_life() {
+fn a_host_started_in_a_later_era_is_a_newer_incarnation() {
     let mut loads = LoadTable::default();
     let mut notice = empty_notice("h", 0, 900);
     notice.incarnation = Position::new(1, 700);
     assert!(loads.apply_notice(&notice, Time(0)));
     notice.incarnation = Position::new(2, 500);
     notice.sequence = 1;
-    assert!(loads.apply_notice(&notice, Time(1)), "a new life");
+    assert!(loads.apply_notice(&notice, Time(1)), "a newer incarnation");
     notice.incarnation = Position::new(1, 700);
     notice.sequence = 901;
     notice.multi_engine_prompts = 3;
     assert!(
         !loads.apply_notice(&notice, Time(2)),
-        "late, of the former one"
+        "a late notice of the former incarnation"
     );
     assert_eq!(loads.multi_engine_prompts(), 0);
 }
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn what_the_copy_lacks_of_barred_requests_is_kept_again_and_what_was_released_goes_again() {
+fn bars_missing_from_the_copy_are_stored_again_and_released_ones_removed_again() {
     let mut quarantine = Quarantine::default();
     let [held, released, new] = ["held", "released", "new"].map(fingerprint);
     let now = Time::from_millis(1_000);
@@ -184,23 +184,27 @@
     quarantine.take_verdicts();
     quarantine.restore(&[(released, BARRED), (new, BARRED)], now);
     let verdicts = quarantine.take_verdicts();
-    let of = |fingerprint| {
+    let verdict_on = |fingerprint| {
         verdicts
             .iter()
             .find(move |verdict| verdict.fingerprint == fingerprint)
     };
-    assert!(matches!(of(held), Some(v) if v.decision != Decision::Released && v.first_hand));
-    assert!(matches!(of(released), Some(v) if v.decision == Decision::Released && v.first_hand));
+    assert!(
+        matches!(verdict_on(held), Some(v) if v.decision != Decision::Released && v.first_hand)
+    );
+    assert!(
+        matches!(verdict_on(released), Some(v) if v.decision == Decision::Released && v.first_hand)
+    );
     assert!(quarantine.barred_for(new, now).is_some());
     assert!(quarantine.barred_for(released, now).is_none());
 }
 
-/// The store: what stands there, and the history of the present era.
+/// A model of the store: its entries, and the changes of the current era.
 #[derive(Clone, Default)]
 struct Store {
     era: u64,
     revision: u64,
-    /// The servers that stand there; the value says whether they say that they leave.
+    /// Listed servers, with whether their entry marks them as leaving.
     entries: BTreeMap<String, bool>,
     changes: Vec<(u64, Change)>,
 }
@@ -239,24 +243,27 @@
     }
 }
 
-/// What a host passes on.
+/// A message from a host to its peers.
 #[derive(Clone)]
-enum Told {
+enum Message {
     Changes(Position, Vec<Change>, Position),
-    Known(u64, Position),
+    Digest(u64, Position),
 }
 
-/// A world of servers that live, a store, and hosts.
+/// Live servers, a store, and hosts that follow it.
 struct World {
     store: Store,
+    /// Copies that the store may be restored from.
     copies: Vec<Store>,
-    /// The servers that live, and whether they leave.
+    /// Live servers, with whether they are leaving.
     live: BTreeMap<String, bool>,
-    born: u64,
+    /// Number of servers started so far.
+    started: u64,
     hosts: Vec<Directory>,
-    /// What each host has known to leave.
+    /// The servers that each host has ever known to be leaving.
     known_to_leave: Vec<BTreeSet<String>>,
-    told: Vec<Told>,
+    /// All messages sent so far, any of which may arrive at any time.
+    messages: Vec<Message>,
 }
 
 impl World {
@@ -268,15 +275,15 @@
             },
             copies: vec![Store::default()],
             live: BTreeMap::new(),
-            born: 0,
+            started: 0,
             hosts: (0..hosts).map(|_| Directory::default()).collect(),
             known_to_leave: vec![BTreeSet::new(); hosts],
-            told: Vec::new(),
+            messages: Vec::new(),
         }
     }
 
-    /// Something happens to the servers or the store.
-    fn happen(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+    /// Applies a random event to the servers or the store.
+    fn random_event(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let ids: Vec<String> = self.live.keys().cloned().collect();
         let any = if ids.is_empty() {
             None
@@ -285,8 +292,8 @@
         };
         match (u.int_in_range(0..=6)?, any) {
             (0 | 1, _) | (_, None) => {
-                self.born += 1;
-                let id = format!("s{}", self.born);
+                self.started += 1;
+                let id = format!("s{}", self.started);
                 self.store.write(&id, false);
                 self.live.insert(id, false);
             }
@@ -311,7 +318,7 @@
         Ok(())
     }
 
-    /// A host asks the store, and passes on what has changed.
+    /// A host queries the store and forwards the changes.
     fn follow(&mut self, host: usize, now: Time) {
         let (directory, store) = (&mut self.hosts[host], &self.store);
         let (known, position) = (directory.position(), store.position());
@@ -320,47 +327,48 @@
         } else {
             let changes = store.since(known.revision);
             directory.apply_changes(known, &changes, position, now);
-            self.told.push(Told::Changes(known, changes, position));
+            self.messages
+                .push(Message::Changes(known, changes, position));
         }
-        let told = Told::Known(directory.digest(), directory.position());
-        self.told.push(told);
+        let message = Message::Digest(directory.digest(), directory.position());
+        self.messages.push(message);
     }
 
-    /// A host hears what some host told at some time.
-    fn hear(&mut self, u: &mut Unstructured<'_>, host: usize, now: Time) -> Result<()> {
-        if self.told.is_empty() {
+    /// A host receives any message sent so far.
+    fn receive(&mut self, u: &mut Unstructured<'_>, host: usize, now: Time) -> Result<()> {
+        if self.messages.is_empty() {
             return Ok(());
         }
-        match u.choose(&self.told)?.clone() {
-            Told::Changes(after, changes, position) => {
+        match u.choose(&self.messages)?.clone() {
+            Message::Changes(after, changes, position) => {
                 self.hosts[host].apply_changes(after, &changes, position, now);
             }
-            Told::Known(digest, position) => self.hosts[host].confirm(digest, position),
+            Message::Digest(digest, position) => self.hosts[host].confirm(digest, position),
         }
         Ok(())
     }
 
-    /// No host uses a server that it has known to leave, and none goes back.
+    /// Checks that no host uses a server that it has known to be leaving, and that no host's position goes back.
     fn check(&mut self, before: &[Position]) {
         for (host, directory) in self.hosts.iter().enumerate() {
             assert!(directory.position() >= before[host]);
-            let open = open(directory);
+            let active = active_ids(directory);
             let known = &mut self.known_to_leave[host];
-            assert!(open.is_disjoint(known), "{open:?} {known:?}");
+            assert!(active.is_disjoint(known), "{active:?} {known:?}");
             let leaving = directory.leaving();
-            let ids = (1..=self.born).map(|number| format!("s{number}"));
-            let of = |id: &String| leaving.contains(&Incarnation::new(&**id, None).key());
-            known.extend(ids.filter(of));
+            let ids = (1..=self.started).map(|number| format!("s{number}"));
+            let is_leaving = |id: &String| leaving.contains(&Incarnation::new(&**id, None).key());
+            known.extend(ids.filter(is_leaving));
         }
     }
 
-    /// All servers that live have written theirs again, the entries of the others have lapsed, and each host has caught up.
+    /// Lets all live servers write their entries again, the entries of the others lapse, and each host catch up.
     fn settle(&mut self, now: Time) -> Time {
         for (id, leaving) in self.live.clone() {
             self.store.write(&id, leaving);
         }
-        let stands: Vec<String> = self.store.entries.keys().cloned().collect();
-        for id in stands.iter().filter(|id| !self.live.contains_key(*id)) {
+        let listed: Vec<String> = self.store.entries.keys().cloned().collect();
+        for id in listed.iter().filter(|id| !self.live.contains_key(*id)) {
             self.store.remove(id);
         }
         let later = now + STALE_ENTRY_HOLD + STORE_RETURN_GRACE;
@@ -375,7 +383,7 @@
 }
 
 #[test]
-fn hosts_agree_with_the_store_whatever_came_of_former_eras() {
+fn hosts_agree_with_the_store_whatever_arrives_from_former_eras() {
     each_seed(600, |u| {
         let hosts = u.int_in_range(2..=5)?;
         let mut world = World::new(hosts);
@@ -385,9 +393,9 @@
             let host = u.int_in_range(0..=hosts - 1)?;
             let before: Vec<Position> = world.hosts.iter().map(Directory::position).collect();
             match u.int_in_range(0..=6)? {
-                0..=2 => world.happen(u)?,
+                0..=2 => world.random_event(u)?,
                 3 | 4 => world.follow(host, now),
-                5 => world.hear(u, host, now)?,
+                5 => world.receive(u, host, now)?,
                 _ => drop(world.hosts[host].expire(now)),
             }
             world.check(&before);
@@ -396,7 +404,7 @@
         let ready = world.live.iter().filter(|(_, leaving)| !**leaving);
         let ready: BTreeSet<String> = ready.map(|(id, _)| id.clone()).collect();
         for (host, directory) in world.hosts.iter().enumerate() {
-            assert_eq!(open(directory), ready, "host {host}");
+            assert_eq!(active_ids(directory), ready, "host {host}");
             assert_eq!(directory.digest(), world.hosts[0].digest());
         }
         Ok(())
