--- a/crates/alderglade-core/src/fleet/fanout.rs
+++ b/crates/alderglade-core/src/fleet/fanout.rs
@@ -1,15 +1,15 @@
-//! How a host's notices reach other hosts.
+//! Delivery of a host's notices to other hosts.
 //!
-//! Those of the own group in other failure domains are reached through one of them, which passes notices on. Told one by one,
-//! each change crosses to another failure domain as often as there are hosts, and bytes between domains
-//! are dear and few. One copy for each domain is enough: 4 in place of 236 where 295 hosts stand in five domains. The host
-//! that passes notices on changes with each heartbeat, so that one that is dead, frozen or cut off hides a host from its
-//! domain for the time of a heartbeat at most; who is first is drawn by the sender's name, so that all share the work.
+//! Hosts of the own group in another failure domain are reached through one of them, which forwards notices to the others.
+//! Sent individually, each change would cross to another failure domain once per host there, and bandwidth between domains
+//! is scarce and expensive. One copy for each domain is enough: 4 instead of 236 with 295 hosts in five domains. The
+//! forwarding host changes with each heartbeat, so a dead, frozen or disconnected one hides a host from its domain for one
+//! heartbeat at most. The first forwarder is derived from the sender's name, which spreads the work over all hosts.
 //!
-//! Hosts of the own domain are told directly, and so are all those of whom nothing was heard yet.
+//! Hosts of the own domain, and hosts that have not been heard from yet, receive notices directly.
 //!
-//! What concerns other groups too goes to one host of each of their parts, a part being the hosts of one group in one failure
-//! domain, and is passed on there.
+//! Notices that concern other groups as well go to one host of each of their partitions, which forwards them there. A
+//! partition is the hosts of one group in one failure domain.
 
 use super::group::{Division, Group};
 use super::relay::Neighbour;
@@ -17,64 +17,69 @@
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Hosts of a failure domain from which on one of them passes notices on to the others; with fewer of them there is little
-/// to save.
-const LEAST: usize = 4;
+/// Minimum number of hosts in a failure domain for which one of them forwards notices to the others. Forwarding saves
+/// little with fewer hosts.
+const MIN_FORWARDED_HOSTS: usize = 4;
 
-/// Who is told, and how.
+/// The delivery of a notice to other failure domains.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Fanout {
-    /// Hosts that pass notices on in their failure domain.
+    /// Hosts that forward the notice within their failure domain.
     pub forwarders: Vec<Name>,
-    /// Hosts that are reached through these, themselves among them.
+    /// Hosts that the forwarders reach, including the forwarders themselves.
     pub covered: BTreeSet<Name>,
 }
 
-/// Gives the way to the hosts of other failure domains among those `heard` of, for the host `own` after so many heartbeats.
-pub fn fanout<'a>(own: &str, beat: u64, heard: impl Iterator<Item = Neighbour<'a>>) -> Fanout {
+/// Returns the fanout of host `own` at heartbeat number `beat` to the hosts of other failure domains in `live_hosts`, the
+/// hosts that it receives notices from.
+pub fn fanout<'a>(own: &str, beat: u64, live_hosts: impl Iterator<Item = Neighbour<'a>>) -> Fanout {
     let mut domains: BTreeMap<&Name, Vec<&Name>> = BTreeMap::new();
-    for host in heard.filter(|host| !host.same_domain) {
+    for host in live_hosts.filter(|host| !host.same_domain) {
         domains.entry(host.domain).or_default().push(host.name);
     }
     let mut fanout = Fanout::default();
-    for hosts in domains.into_values().filter(|hosts| hosts.len() >= LEAST) {
+    for hosts in domains
+        .into_values()
+        .filter(|hosts| hosts.len() >= MIN_FORWARDED_HOSTS)
+    {
         fanout
             .forwarders
-            .extend(in_turn(own, beat, hosts.clone()).cloned());
+            .extend(forwarder(own, beat, hosts.clone()).cloned());
         fanout.covered.extend(hosts.into_iter().cloned());
     }
     fanout
 }
 
-/// What concerns hosts of other groups, and so which of them.
+/// The hosts outside the own group that a notice concerns.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Scope {
-    /// Whether it concerns all hosts.
+    /// All hosts.
     pub all: bool,
-    /// Whether it concerns all hosts of the own failure domain.
+    /// All hosts of the own failure domain.
     pub domain: bool,
-    /// The groups all of whose hosts it concerns.
+    /// Groups whose hosts are all concerned.
     pub groups: BTreeSet<Group>,
 }
 
-/// The host that tells, as others see it.
+/// The host that sends a notice.
 #[derive(Debug, Clone, Copy)]
 pub struct Sender<'a> {
     /// Its name.
     pub name: &'a Name,
     /// Its failure domain.
     pub domain: &'a Name,
-    /// How it sees the groups.
+    /// The division into groups that it uses.
     pub division: Division,
 }
 
 impl Scope {
-    /// Says whether it concerns a part of the hosts.
-    fn is_of(&self, sender: &Sender<'_>, group: Group, domain: &Name) -> bool {
+    /// Returns whether the notice concerns the hosts of a group in a failure domain.
+    fn concerns(&self, sender: &Sender<'_>, group: Group, domain: &Name) -> bool {
         self.all || self.groups.contains(&group) || (self.domain && domain == sender.domain)
     }
 
-    /// Gives a host of each part that it concerns, after so many heartbeats, among `hosts`, each with its failure domain.
+    /// Returns one host of each partition that the notice concerns, at heartbeat number `beat`. `hosts` are all hosts with
+    /// their failure domains.
     pub fn gateways<'a>(
         &self,
         sender: &Sender<'_>,
@@ -85,24 +90,24 @@
             return Vec::new();
         }
         let own = sender.division.of_host(sender.name);
-        let mut parts: BTreeMap<(Group, &Name), Vec<&Name>> = BTreeMap::new();
+        let mut partitions: BTreeMap<(Group, &Name), Vec<&Name>> = BTreeMap::new();
         for (host, domain) in hosts {
             let group = sender.division.of_host(host);
-            if group != own && self.is_of(sender, group, domain) {
-                parts.entry((group, domain)).or_default().push(host);
+            if group != own && self.concerns(sender, group, domain) {
+                partitions.entry((group, domain)).or_default().push(host);
             }
         }
-        let parts = parts.into_values();
-        parts
-            .filter_map(|hosts| in_turn(sender.name, beat, hosts))
+        let partitions = partitions.into_values();
+        partitions
+            .filter_map(|hosts| forwarder(sender.name, beat, hosts))
             .collect()
     }
 }
 
-/// Gives the host whose turn it is after so many heartbeats to pass on what a sender tells.
-fn in_turn<'a>(sender: &str, beat: u64, mut hosts: Vec<&'a Name>) -> Option<&'a Name> {
+/// Returns the host that forwards the sender's notices at heartbeat number `beat`; the role rotates through the hosts by name.
+fn forwarder<'a>(sender: &str, beat: u64, mut hosts: Vec<&'a Name>) -> Option<&'a Name> {
     hosts.sort();
     let first = xxh3_64(sender.as_bytes());
-    let place = first.wrapping_add(beat).checked_rem(hosts.len() as u64)?;
-    hosts.get(place as usize).copied()
+    let index = first.wrapping_add(beat).checked_rem(hosts.len() as u64)?;
+    hosts.get(index as usize).copied()
 }
--- a/crates/alderglade-core/src/fleet/group.rs
+++ b/crates/alderglade-core/src/fleet/group.rs
@@ -1,14 +1,14 @@
-//! Groups of hosts and the backend servers that they share.
+//! Groups of hosts, and the backend servers that each group shares.
 //!
-//! A host tells what it holds to each host that sends to the same servers. Were these all hosts, what one of them sends
-//! and hears would grow with their number. Where there are many, hosts and servers are divided into groups: a host sends
-//! to the servers of its own group, and tells the hosts of that group. Each group has its part of every failure domain, so
-//! that the loss of a domain takes as much from each.
+//! A host reports what it holds at a server to every host that sends to the same servers. If that were all hosts, the
+//! messages that one of them sends and receives would grow with their number. Large fleets are therefore divided into
+//! groups: a host sends requests to the servers of its own group and reports to the hosts of that group. Each group has
+//! hosts in every failure domain, so the loss of a domain affects all groups equally.
 //!
-//! The group of a host follows from its name and the number of groups, which is a power of two and doubles with the
-//! number of hosts. Hosts that don't agree on it for a moment have groups of which one holds the other. The servers of a
-//! service are dealt evenly: ordered by their hashes, and cut into as many pieces of the same size as there are groups. Of
-//! those, one that comes or goes moves one at each cut.
+//! The group of a host follows from its name and the number of groups, which is a power of two and doubles with the number
+//! of hosts. While hosts disagree on the number of groups, one host's group contains the other's. The servers of a service
+//! are assigned evenly: they are ordered by hash and split into as many equal ranges as there are groups. A server that is
+//! added or removed moves one server at each boundary between ranges.
 
 use super::directory::Server;
 use super::incarnation::Key;
@@ -16,22 +16,22 @@
 use std::collections::{BTreeMap, HashMap};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The least number of hosts of a group, as a mean.
+/// Minimum number of hosts in a group, on average.
 pub const MIN_GROUP_HOSTS: usize = 64;
 
-/// A group.
+/// The index of a group.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Group(u32);
 
-/// Into how many groups the hosts are divided.
+/// The number of groups that the hosts are divided into.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Division {
-    /// The logarithm of the number of groups, to the base of two.
+    /// Base-2 logarithm of the number of groups.
     bits: u32,
 }
 
 impl Division {
-    /// Gives the division of so many hosts.
+    /// Returns the division for a number of hosts.
     pub fn of_hosts(hosts: usize) -> Division {
         let groups = (hosts / MIN_GROUP_HOSTS).max(1);
         Division {
@@ -39,68 +39,68 @@
         }
     }
 
-    /// Gives the number of groups.
+    /// Returns the number of groups.
     pub fn groups(self) -> u32 {
         1 << self.bits
     }
 
-    /// Says whether all hosts are of one group.
+    /// Returns whether there is only one group.
     pub fn is_single(self) -> bool {
         self.bits == 0
     }
 
-    /// Gives the group of a host.
+    /// Returns the group of a host.
     pub fn of_host(self, host: &str) -> Group {
         let hash = xxh3_64(host.as_bytes());
-        Group(leading(hash, self.bits))
+        Group(leading_bits(hash, self.bits))
     }
 
-    /// Gives how many groups come before a host's own where the hosts of a failure domain share a duty. Another group comes first
-    /// in each domain, as far as there are enough.
+    /// Returns how many groups take precedence over the host's own for a duty that the hosts of a failure domain share.
+    /// Failure domains start with different groups, as far as there are enough groups.
     pub fn precedence(self, domain: &str, host: &str) -> u32 {
         let Group(own) = self.of_host(host);
-        let first = leading(xxh3_64(domain.as_bytes()), self.bits);
+        let first = leading_bits(xxh3_64(domain.as_bytes()), self.bits);
         own.wrapping_sub(first) % self.groups()
     }
 
-    /// Deals the servers of one service to the groups.
+    /// Assigns the servers of one service to groups.
     fn assign<'a>(self, servers: impl Iterator<Item = &'a Server>) -> Vec<(Key, Group)> {
         let order = servers.map(|server| (xxh3_64(server.id().as_bytes()), server.key()));
         let mut order: Vec<(u64, Key)> = order.collect();
         order.sort_unstable();
         let (groups, count) = (self.groups() as usize, order.len());
-        let dealt = order.into_iter().enumerate();
-        dealt
-            .map(|(place, (_, server))| (server, Group((place * groups / count) as u32)))
+        let ranked = order.into_iter().enumerate();
+        ranked
+            .map(|(rank, (_, server))| (server, Group((rank * groups / count) as u32)))
             .collect()
     }
 }
 
-/// Gives the first bits of a hash.
-fn leading(hash: u64, bits: u32) -> u32 {
+/// Returns the most significant bits of a hash.
+fn leading_bits(hash: u64, bits: u32) -> u32 {
     hash.checked_shr(u64::BITS - bits).unwrap_or(0) as u32
 }
 
-/// The groups, as one host knows them.
+/// The groups of hosts and servers, as known to one host.
 #[derive(Debug, Default)]
 pub struct Groups {
     division: Division,
-    /// The group of each server; empty where there is one group.
+    /// The group of each server. Empty if there is only one group.
     servers: HashMap<Key, Group>,
 }
 
 impl Groups {
-    /// Gives the division.
+    /// Returns the current division.
     pub fn division(&self) -> Division {
         self.division
     }
 
-    /// Takes a division; says whether it is another one. Servers must be dealt anew then.
+    /// Sets the division. Returns whether it changed, in which case the servers must be assigned again.
     pub fn set_division(&mut self, division: Division) -> bool {
         std::mem::replace(&mut self.division, division) != division
     }
 
-    /// Deals servers to the groups.
+    /// Assigns all servers to groups, service by service.
     pub fn assign<'a>(&mut self, servers: impl Iterator<Item = &'a Server>) {
         self.servers.clear();
         if self.division.is_single() {
@@ -116,27 +116,27 @@
         }
     }
 
-    /// Gives the group of a host.
+    /// Returns the group of a host.
     pub fn of_host(&self, host: &str) -> Group {
         self.division.of_host(host)
     }
 
-    /// Gives the group of a server; the first one where the server is not known.
+    /// Returns the group of a server, or the first group if the server is unknown.
     pub fn of_server(&self, server: Key) -> Group {
         self.servers.get(&server).copied().unwrap_or_default()
     }
 
-    /// Says whether two hosts are of the same group.
+    /// Returns whether two hosts are in the same group.
     pub fn same_group(&self, host: &str, other: &str) -> bool {
         self.division.is_single() || self.of_host(host) == self.of_host(other)
     }
 
-    /// Says whether a server is of a host's group.
+    /// Returns whether a server is in the host's group.
     pub fn has_server(&self, host: &str, server: Key) -> bool {
         self.division.is_single() || self.of_host(host) == self.of_server(server)
     }
 
-    /// Gives those of some servers that are of a host's group, or all of them where there are fewer than `least`.
+    /// Returns the given servers that are in the host's group, or all of them if fewer than `least` are.
     pub fn share<'a>(
         &self,
         host: &str,
@@ -147,9 +147,9 @@
             return servers;
         }
         let own = self.of_host(host);
-        let is_shared = |server: &&Server| self.of_server(server.key()) == own;
-        if servers.iter().filter(|server| is_shared(server)).count() >= least {
-            servers.retain(is_shared);
+        let in_own_group = |server: &&Server| self.of_server(server.key()) == own;
+        if servers.iter().filter(|server| in_own_group(server)).count() >= least {
+            servers.retain(in_own_group);
         }
         servers
     }
--- a/crates/alderglade-core/src/fleet/reassembly.rs
+++ b/crates/alderglade-core/src/fleet/reassembly.rs
@@ -1,70 +1,69 @@
-//! Changes of backend servers in pieces, where a packet doesn't hold them all.
+//! Splitting and reassembly of server changes that don't fit into one packet.
 //!
-//! When hundreds of servers start within seconds, what one watch of the store brings is larger than a packet, and each host
-//! that isn't told asks the store. A piece tells of which changes it is a part; they count when all pieces are there.
+//! When hundreds of servers start within seconds, the changes from one watch of the store exceed a packet, and each host
+//! that does not receive them queries the store. Each fragment carries its index and count. The changes are applied once
+//! all fragments have arrived.
 
 use super::directory::Change;
 use super::message::{Fragment, Servers};
 use super::position::Position;
 use std::collections::VecDeque;
 
-/// The most pieces of one message; where there are more, hosts ask the store.
-const MOST: usize = 64;
-/// Messages of which pieces are kept. They come within milliseconds, and a lost one is never sent again.
-const OPEN: usize = 8;
+/// Maximum number of fragments of one message. Beyond that, hosts query the store.
+const MAX_FRAGMENTS: usize = 64;
+/// Maximum number of incomplete messages that are kept. The fragments of a message arrive within milliseconds, and lost
+/// ones are never sent again.
+const MAX_INCOMPLETE: usize = 8;
 
-/// Cuts changes into pieces whose changes take so many bytes at most, as `size` tells for one; gives none where a change is
-/// larger, or there are too many.
-pub fn split(whole: &Servers, most: usize, size: impl Fn(&Change) -> usize) -> Vec<Servers> {
+/// Splits changes into fragments with at most `max_bytes` of changes each. `size` returns the bytes of one change. Returns no
+/// fragments if a single change is larger or there would be too many fragments.
+pub fn split(whole: &Servers, max_bytes: usize, size: impl Fn(&Change) -> usize) -> Vec<Servers> {
     let mut fragments: Vec<Vec<Change>> = Vec::new();
-    let mut left = 0;
+    let mut space_left = 0;
     for change in &whole.changes {
         let size = size(change);
-        if size > most {
+        if size > max_bytes {
             return Vec::new();
         }
         match fragments.last_mut() {
-            Some(fragment) if size <= left => fragment.push(change.clone()),
+            Some(fragment) if size <= space_left => fragment.push(change.clone()),
             _ => {
                 fragments.push(vec![change.clone()]);
-                left = most;
+                space_left = max_bytes;
             }
         }
-        left -= size;
+        space_left -= size;
     }
-    let Ok(of) = u16::try_from(fragments.len()) else {
+    let Ok(count) = u16::try_from(fragments.len()) else {
         return Vec::new();
     };
-    if fragments.len() > MOST {
+    if fragments.len() > MAX_FRAGMENTS {
         return Vec::new();
     }
-    let fragment = |(number, changes): (u16, Vec<Change>)| Servers {
-        fragment: Fragment {
-            index: number,
-            count: of,
-        },
+    let fragment = |(index, changes): (u16, Vec<Change>)| Servers {
+        fragment: Fragment { index, count },
         changes,
         ..whole.clone()
     };
-    (0..of).zip(fragments).map(fragment).collect()
+    (0..count).zip(fragments).map(fragment).collect()
 }
 
-/// Changes of which some pieces have come.
+/// A message of which some fragments have arrived.
 #[derive(Debug)]
-struct Batch {
+struct PartialMessage {
     after: Position,
     position: Position,
     fragments: Vec<Option<Vec<Change>>>,
 }
 
-/// The pieces that a host has been told.
+/// The incomplete messages that a host has received.
 #[derive(Debug, Default)]
 pub struct Reassembly {
-    open: VecDeque<Batch>,
+    incomplete: VecDeque<PartialMessage>,
 }
 
 impl Reassembly {
-    /// Takes a piece; gives all changes where it is the last one missing.
+    /// Adds a fragment. Returns all changes of the message once it is complete.
     pub fn take(&mut self, servers: &Servers) -> Option<Vec<Change>> {
         let Servers {
             after,
@@ -72,40 +71,41 @@
             fragment,
             ..
         } = *servers;
-        let of = usize::from(fragment.count);
-        if of == 1 {
+        let count = usize::from(fragment.count);
+        if count == 1 {
             return Some(servers.changes.clone());
         }
-        if of > MOST {
+        if count > MAX_FRAGMENTS {
             return None;
         }
-        let is_same = |batch: &Batch| {
-            (batch.after, batch.position) == (after, position) && batch.fragments.len() == of
+        let is_same_message = |message: &PartialMessage| {
+            (message.after, message.position) == (after, position)
+                && message.fragments.len() == count
         };
-        let place = match self.open.iter().position(is_same) {
-            Some(place) => place,
-            None => self.begin(after, position, of),
+        let index = match self.incomplete.iter().position(is_same_message) {
+            Some(index) => index,
+            None => self.begin(after, position, count),
         };
-        let batch = self.open.get_mut(place)?;
-        let slot = batch.fragments.get_mut(usize::from(fragment.index))?;
+        let message = self.incomplete.get_mut(index)?;
+        let slot = message.fragments.get_mut(usize::from(fragment.index))?;
         *slot = Some(servers.changes.clone());
-        if batch.fragments.iter().any(Option::is_none) {
+        if message.fragments.iter().any(Option::is_none) {
             return None;
         }
-        let batch = self.open.remove(place)?;
-        Some(batch.fragments.into_iter().flatten().flatten().collect())
+        let message = self.incomplete.remove(index)?;
+        Some(message.fragments.into_iter().flatten().flatten().collect())
     }
 
-    /// Makes room for the pieces of a message; gives its place.
-    fn begin(&mut self, after: Position, position: Position, of: usize) -> usize {
-        if self.open.len() >= OPEN {
-            self.open.pop_front();
+    /// Starts a message, replacing the oldest one if there are too many. Returns its index.
+    fn begin(&mut self, after: Position, position: Position, count: usize) -> usize {
+        if self.incomplete.len() >= MAX_INCOMPLETE {
+            self.incomplete.pop_front();
         }
-        self.open.push_back(Batch {
+        self.incomplete.push_back(PartialMessage {
             after,
             position,
-            fragments: vec![None; of],
+            fragments: vec![None; count],
         });
-        self.open.len() - 1
+        self.incomplete.len() - 1
     }
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/fanout.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/fanout.rs
@@ -1,5 +1,4 @@
-//! Notices that go to other failure domains through one of their hosts: who hears of what, and what it costs between
-//! domains.
+//! Notices forwarded in other failure domains by one of their hosts: who receives them, and the traffic between domains.
 
 use super::{empty_notice, hold, key};
 use crate::each_seed;
@@ -16,7 +15,7 @@
     format!("d{domain}-h{host:02}").into()
 }
 
-/// The hosts of domains of these sizes, and each one's domain.
+/// Creates hosts in domains of the given sizes, each with its domain.
 fn hosts(sizes: &[usize]) -> Vec<(Name, Name)> {
     let numbered = sizes.iter().enumerate();
     let all = numbered.flat_map(|(domain, size)| (0..*size).map(move |host| (domain, host)));
@@ -24,24 +23,28 @@
         .collect()
 }
 
-/// The way of a host of the first domain that hears all others.
-fn way(own: &Name, beat: u64, hosts: &[(Name, Name)]) -> Fanout {
+/// Returns the fanout of a host of the first domain that receives notices from all others.
+fn fanout_to_all(own: &Name, beat: u64, hosts: &[(Name, Name)]) -> Fanout {
     let others = hosts.iter().filter(|(name, _)| name != own);
-    let heard = others.map(|(name, domain)| Neighbour {
+    let live_hosts = others.map(|(name, domain)| Neighbour {
         name,
         domain,
         same_domain: **domain == *"d0",
         store: StoreStatus::default(),
     });
-    fanout(own, beat, heard)
+    fanout(own, beat, live_hosts)
 }
 
 #[test]
-fn one_host_of_each_large_domain_passes_notices_on() {
+fn one_host_of_each_large_domain_forwards_notices() {
     let hosts = hosts(&[5, 59, 4, 3, 1]);
-    let fanout = way(&name(0, 0), 0, &hosts);
+    let fanout = fanout_to_all(&name(0, 0), 0, &hosts);
     let domains: Vec<&str> = fanout.forwarders.iter().map(|host| &host[..2]).collect();
-    assert_eq!(domains, ["d1", "d2"], "small ones are told directly");
+    assert_eq!(
+        domains,
+        ["d1", "d2"],
+        "hosts of small domains are sent to directly"
+    );
     assert_eq!(fanout.covered.len(), 59 + 4);
     assert!(
         fanout
@@ -52,64 +55,64 @@
 }
 
 #[test]
-fn each_host_has_its_turn_and_senders_share_the_hosts() {
+fn forwarding_rotates_and_is_spread_over_the_hosts() {
     let hosts = hosts(&[40, 10]);
-    let turns = (0..10).flat_map(|beat| way(&name(0, 0), beat, &hosts).forwarders);
+    let turns = (0..10).flat_map(|beat| fanout_to_all(&name(0, 0), beat, &hosts).forwarders);
     assert_eq!(turns.collect::<BTreeSet<_>>().len(), 10);
     let mut load: BTreeMap<Name, u32> = BTreeMap::new();
     for sender in 0..40 {
-        for host in way(&name(0, sender), 3, &hosts).forwarders {
+        for host in fanout_to_all(&name(0, sender), 3, &hosts).forwarders {
             *load.entry(host).or_default() += 1;
         }
     }
     assert!(load.values().all(|senders| *senders <= 10), "{load:?}");
 }
 
-/// One host and what it knows.
+/// One host and the loads that it knows.
 struct Host {
     name: Name,
     domain: Name,
     loads: LoadTable,
     sequence: u64,
-    held: Vec<ReservationId>,
+    reservations: Vec<ReservationId>,
 }
 
 /// A deployment whose messages come at once or never.
 struct Fleet {
     hosts: Vec<Host>,
-    /// Messages of a hundred that are lost.
-    lost: u32,
+    /// Percentage of messages that are lost.
+    loss_percent: u32,
     /// Hosts that take nothing in and send nothing.
     dead: BTreeSet<Name>,
-    /// Messages that have crossed between failure domains.
-    crossed: usize,
+    /// Number of messages sent between failure domains.
+    cross_domain_sends: usize,
 }
 
 impl Fleet {
-    fn new(sizes: &[usize], lost: u32) -> Fleet {
+    fn new(sizes: &[usize], loss_percent: u32) -> Fleet {
         let host = |(name, domain)| Host {
             name,
             domain,
             loads: LoadTable::default(),
             sequence: 0,
-            held: Vec::new(),
+            reservations: Vec::new(),
         };
         Fleet {
             hosts: hosts(sizes).into_iter().map(host).collect(),
-            lost,
+            loss_percent,
             dead: BTreeSet::new(),
-            crossed: 0,
+            cross_domain_sends: 0,
         }
     }
 
-    fn place(&self, name: &Name) -> usize {
+    fn index_of(&self, name: &Name) -> usize {
         let mut hosts = self.hosts.iter();
         hosts
             .position(|host| host.name == *name)
             .expect("a known host")
     }
 
-    /// Sends a notice from one host to another; says whether it came.
+    /// Sends a notice from one host to another. Returns whether it arrived.
     fn send(
         &mut self,
         u: &mut Unstructured<'_>,
@@ -119,67 +122,67 @@
         now: Time,
     ) -> Result<bool> {
         if self.hosts[from].domain != self.hosts[to].domain {
-            self.crossed += 1;
+            self.cross_domain_sends += 1;
         }
         let is_dead =
             self.dead.contains(&self.hosts[from].name) || self.dead.contains(&self.hosts[to].name);
-        if is_dead || u.int_in_range(0..=99)? < self.lost {
+        if is_dead || u.int_in_range(0..=99)? < self.loss_percent {
             return Ok(false);
         }
         self.hosts[to].loads.apply_notice(notice, now);
         Ok(true)
     }
 
-    /// Has a host tell all others, and those that it goes through pass it on.
-    fn tell(
+    /// Sends a notice from a host to all others, directly or through forwarders.
+    fn broadcast(
         &mut self,
         u: &mut Unstructured<'_>,
         from: usize,
         beat: u64,
-        whole: bool,
+        full: bool,
         now: Time,
     ) -> Result<()> {
         let host = &mut self.hosts[from];
         host.sequence += 1;
-        let holdings = if whole {
+        let holdings = if full {
             host.loads.all_holdings(now)
         } else {
             host.loads.take_changes()
         };
         let notice = Notice {
             domain: host.domain.clone(),
-            full: whole,
+            full,
             holdings,
             ..empty_notice(&host.name, 1, host.sequence)
         };
         let (own, domain) = (host.name.clone(), host.domain.clone());
-        let way = fanout(&own, beat, host.loads.live_hosts(&domain, now));
+        let fanout = fanout(&own, beat, host.loads.live_hosts(&domain, now));
         let direct = 0..self.hosts.len();
         let direct =
-            direct.filter(|to| *to != from && !way.covered.contains(&self.hosts[*to].name));
+            direct.filter(|to| *to != from && !fanout.covered.contains(&self.hosts[*to].name));
         for to in direct.collect::<Vec<_>>() {
             self.send(u, from, to, &notice, now)?;
         }
-        for through in way.forwarders {
-            let through = self.place(&through);
-            if !self.send(u, from, through, &notice, now)? {
+        for forwarder in fanout.forwarders {
+            let forwarder = self.index_of(&forwarder);
+            if !self.send(u, from, forwarder, &notice, now)? {
                 continue;
             }
-            let domain = self.hosts[through].domain.clone();
-            let near = self.hosts[through].loads.live_hosts(&domain, now);
-            let near: Vec<Name> = near
+            let domain = self.hosts[forwarder].domain.clone();
+            let neighbours = self.hosts[forwarder].loads.live_hosts(&domain, now);
+            let neighbours: Vec<Name> = neighbours
                 .filter(|host| host.same_domain)
                 .map(|host| host.name.clone())
                 .collect();
-            for to in near {
-                let to = self.place(&to);
-                self.send(u, through, to, &notice, now)?;
+            for to in neighbours {
+                let to = self.index_of(&to);
+                self.send(u, forwarder, to, &notice, now)?;
             }
         }
         Ok(())
     }
 
-    /// What a host thinks is held at a server.
+    /// Returns the load of the server as a host sees it.
     fn view(&self, host: &Host) -> Load {
         Load {
             placed: 0,
@@ -188,14 +191,14 @@
     }
 }
 
-/// Hosts place and release, messages are lost, hosts die; a few heartbeats later all that live see the same load. A host
-/// that died is silent for all after its time.
+/// Hosts reserve and release, messages are lost, hosts die. A few heartbeats later all live hosts see the same load, and
+/// the load of a dead host has expired everywhere.
 #[test]
 fn all_hosts_see_the_same_load_a_few_heartbeats_later() {
     const BEAT: Duration = Duration::from_millis(250);
     each_seed(12, |u| {
-        let lost = u.int_in_range(0..=10)?;
-        let mut fleet = Fleet::new(&[6, 9, 5, 2], lost);
+        let loss_percent = u.int_in_range(0..=10)?;
+        let mut fleet = Fleet::new(&[6, 9, 5, 2], loss_percent);
         let count = fleet.hosts.len();
         let mut now = Time(0);
         for beat in 0..12 {
@@ -203,26 +206,26 @@
             for host in 0..count {
                 let from = &mut fleet.hosts[host];
                 if u.ratio(1, 3)? {
-                    from.held
+                    from.reservations
                         .push(from.loads.reserve(hold("e", 1_000, 10), now));
-                } else if let Some(id) = from.held.pop() {
+                } else if let Some(id) = from.reservations.pop() {
                     from.loads.release(id, now);
                 }
-                fleet.tell(u, host, beat, beat % 4 == 0, now)?;
+                fleet.broadcast(u, host, beat, beat % 4 == 0, now)?;
             }
             if u.ratio(1, 3)? {
                 let host = u.int_in_range(0..=count - 1)?;
                 fleet.dead.insert(fleet.hosts[host].name.clone());
             }
         }
-        fleet.lost = 0;
-        // A dead host is routed through until it is missed, and counts until it has lapsed.
+        fleet.loss_percent = 0;
+        // A dead host stays a forwarder until it is found silent, and its load counts until it has expired.
         for beat in 12..24 {
             now = now + BEAT;
             for host in 0..count {
                 let is_dead = fleet.dead.contains(&fleet.hosts[host].name);
                 if !is_dead {
-                    fleet.tell(u, host, beat, beat % 4 == 0, now)?;
+                    fleet.broadcast(u, host, beat, beat % 4 == 0, now)?;
                 }
                 fleet.hosts[host].loads.expire(now);
             }
@@ -231,27 +234,32 @@
             .hosts
             .iter()
             .filter(|host| !fleet.dead.contains(&host.name));
-        let held: usize = living.clone().map(|host| host.held.len()).sum();
+        let reservations: usize = living.clone().map(|host| host.reservations.len()).sum();
         for host in living {
-            assert_eq!(fleet.view(host).running, held as i64, "{}", host.name);
+            assert_eq!(
+                fleet.view(host).running,
+                reservations as i64,
+                "{}",
+                host.name
+            );
         }
         Ok(())
     });
 }
 
-/// 295 hosts in five domains: a change crosses four times in place of 236 times.
+/// With 295 hosts in five domains, a change crosses between domains four times instead of 236 times.
 #[test]
-fn a_change_crosses_once_to_each_domain() {
+fn a_change_crosses_to_each_domain_once() {
     each_seed(1, |u| {
         let mut fleet = Fleet::new(&[59; 5], 0);
         let now = Time::from_millis(1_000);
         for host in 0..fleet.hosts.len() {
-            fleet.tell(u, host, 0, true, now)?;
+            fleet.broadcast(u, host, 0, true, now)?;
         }
-        fleet.crossed = 0;
+        fleet.cross_domain_sends = 0;
         fleet.hosts[7].loads.reserve(hold("e", 1_000, 10), now);
-        fleet.tell(u, 7, 1, false, now)?;
-        assert_eq!(fleet.crossed, 4);
+        fleet.broadcast(u, 7, 1, false, now)?;
+        assert_eq!(fleet.cross_domain_sends, 4);
         for host in &fleet.hosts {
             assert_eq!(fleet.view(host).running, 1, "{}", host.name);
         }
--- a/crates/alderglade-core/tests/testsuite/fleet/group.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/group.rs
@@ -1,4 +1,4 @@
-//! A thousand hosts in groups: who shares what, who tells whom, and who asks the store.
+//! Fleets of up to 2,000 hosts in groups: who shares which servers, who reports to whom, and who queries the store.
 
 use super::{empty_notice, server};
 use alderglade_core::Name;
@@ -19,7 +19,7 @@
 
 const DOMAINS: usize = 5;
 
-/// A host and its failure domain.
+/// A host name and its failure domain.
 type Host = (Name, Name);
 
 fn hosts(count: usize) -> Vec<Host> {
@@ -36,57 +36,58 @@
         .collect()
 }
 
-fn dealt(division: Division, servers: &[Server]) -> Groups {
+fn assigned(division: Division, servers: &[Server]) -> Groups {
     let mut groups = Groups::default();
     groups.set_division(division);
     groups.assign(servers.iter());
     groups
 }
 
-/// The hosts of each group in each failure domain.
-fn parts(division: Division, hosts: &[Host]) -> BTreeMap<(Group, &Name), usize> {
-    let mut parts = BTreeMap::new();
+/// Returns the number of hosts of each group in each failure domain.
+fn partition_sizes(division: Division, hosts: &[Host]) -> BTreeMap<(Group, &Name), usize> {
+    let mut sizes = BTreeMap::new();
     for (name, domain) in hosts {
-        *parts.entry((division.of_host(name), domain)).or_default() += 1;
+        *sizes.entry((division.of_host(name), domain)).or_default() += 1;
     }
-    parts
+    sizes
 }
 
 #[test]
-fn few_hosts_are_one_group() {
+fn a_small_fleet_is_one_group() {
     for count in [0, 1, 6, 76, 100, 127] {
         let division = Division::of_hosts(count);
         assert_eq!(division, Division::default(), "{count} hosts");
-        let groups = dealt(division, &servers(20));
-        let own = servers(20);
+        let groups = assigned(division, &servers(20));
+        let servers = servers(20);
         assert!(
-            own.iter()
+            servers
+                .iter()
                 .all(|server| groups.has_server("h", server.key()))
         );
     }
 }
 
-/// Each group has its part of each domain, and none is much larger than the others.
+/// Each group has hosts in each domain, and no group is much larger than the others.
 #[test]
-fn groups_have_their_part_of_each_domain() {
+fn groups_have_hosts_in_each_domain() {
     for count in [300, 985, 2_000] {
         let all = hosts(count);
         let division = Division::of_hosts(count);
-        let parts = parts(division, &all);
-        assert_eq!(parts.len(), division.groups() as usize * DOMAINS);
+        let partitions = partition_sizes(division, &all);
+        assert_eq!(partitions.len(), division.groups() as usize * DOMAINS);
         let mean = count / division.groups() as usize;
         assert!((64..128).contains(&mean), "{count}: {mean}");
         let mut sizes: BTreeMap<Group, usize> = BTreeMap::new();
-        for ((group, _), hosts) in parts {
+        for ((group, _), hosts) in partitions {
             *sizes.entry(group).or_default() += hosts;
         }
         assert!(sizes.values().all(|size| *size < 2 * mean), "{sizes:?}");
     }
 }
 
-/// While hosts don't agree on how many there are, the groups of some hold those of the others.
+/// While hosts disagree on the number of hosts, the groups of some contain those of the others.
 #[test]
-fn a_group_is_split_in_two_when_hosts_double() {
+fn groups_split_in_two_when_the_hosts_double() {
     let all = hosts(1_000);
     let (before, after) = (Division::of_hosts(500), Division::of_hosts(1_000));
     assert_eq!(2 * before.groups(), after.groups());
@@ -99,10 +100,10 @@
 }
 
 #[test]
-fn servers_are_dealt_evenly_and_few_move_where_one_goes() {
+fn servers_are_assigned_evenly_and_few_move_when_one_is_removed() {
     let division = Division::of_hosts(985);
     let mut servers = servers(925);
-    let before = dealt(division, &servers);
+    let before = assigned(division, &servers);
     let mut sizes: BTreeMap<Group, usize> = BTreeMap::new();
     for server in &servers {
         *sizes.entry(before.of_server(server.key())).or_default() += 1;
@@ -110,21 +111,21 @@
     assert_eq!(sizes.len(), division.groups() as usize);
     assert!(sizes.values().all(|size| (115..=116).contains(size)));
     servers.remove(400);
-    let after = dealt(division, &servers);
+    let after = assigned(division, &servers);
     let moved = servers.iter().map(Server::key);
     let moved = moved.filter(|key| before.of_server(*key) != after.of_server(*key));
     assert!(moved.count() < division.groups() as usize);
 }
 
-/// The hosts that each host hears, where those given watch the store.
-fn heard<'a>(
+/// Returns the hosts that a host receives notices from, given the hosts that watch the store.
+fn live_hosts<'a>(
     all: &'a [Host],
     own: &Host,
     division: Division,
     watch: &BTreeSet<Name>,
 ) -> Vec<Neighbour<'a>> {
     let others = all.iter().filter(|(name, _)| *name != own.0);
-    let heard = others.filter(|(name, domain)| {
+    let live_hosts = others.filter(|(name, domain)| {
         let together = division.of_host(name) == division.of_host(&own.0);
         together || (*domain == own.1 && watch.contains(name))
     });
@@ -137,11 +138,11 @@
             ..StoreStatus::default()
         },
     };
-    heard.map(neighbour).collect()
+    live_hosts.map(neighbour).collect()
 }
 
-/// What a host knows itself.
-fn own_word(host: &Host, division: Division) -> LocalStatus<'_> {
+/// Creates the local status of a host.
+fn local_status(host: &Host, division: Division) -> LocalStatus<'_> {
     LocalStatus {
         name: &host.0,
         domain: &host.1,
@@ -155,18 +156,18 @@
     }
 }
 
-/// The datagrams that the hosts of a fleet send in a second while nothing happens, as a mean, and those of the busiest.
+/// Returns the datagrams per second that hosts of an idle fleet send: the mean, and the maximum of any host.
 fn datagrams(count: usize) -> (f64, f64) {
     let all = hosts(count);
     let division = Division::of_hosts(count);
-    let parts = parts(division, &all);
+    let partition_sizes = partition_sizes(division, &all);
     let watchers = watchers(division, &all);
     let mut sent: BTreeMap<Name, f64> = BTreeMap::new();
     for (name, domain) in &all {
         let own = division.of_host(name);
         let others = all.iter().filter(|(other, _)| other != name);
         let group = others.filter(|(other, _)| division.of_host(other) == own);
-        let heard = group.clone().map(|(name, of)| Neighbour {
+        let live_hosts = group.clone().map(|(name, of)| Neighbour {
             name,
             domain: of,
             same_domain: of == domain,
@@ -175,10 +176,10 @@
         let hosts = group.count() + 1;
         let watches = watchers.contains(name);
         let interval = heartbeat::interval(hosts, watches);
-        let a_second = 1.0 / interval.as_secs_f64();
-        let way = fanout(name, 7, heard);
-        let direct = hosts - 1 - way.covered.len() + way.forwarders.len();
-        *sent.entry(name.clone()).or_default() += a_second * direct as f64;
+        let beats_per_second = 1.0 / interval.as_secs_f64();
+        let fanout = fanout(name, 7, live_hosts);
+        let direct = hosts - 1 - fanout.covered.len() + fanout.forwarders.len();
+        *sent.entry(name.clone()).or_default() += beats_per_second * direct as f64;
         let scope = Scope {
             domain: watches,
             ..Scope::default()
@@ -190,21 +191,21 @@
         };
         let listed = all.iter().map(|(name, domain)| (name, domain));
         let gateways = scope.gateways(&sender, 7, listed);
-        *sent.entry(name.clone()).or_default() += a_second * gateways.len() as f64;
-        // Who passes a notice on changes with each heartbeat: each host of a part has its share.
-        for through in way.forwarders.iter().chain(gateways) {
+        *sent.entry(name.clone()).or_default() += beats_per_second * gateways.len() as f64;
+        // The forwarder changes with each heartbeat, so the hosts of a partition share the work equally.
+        for forwarder in fanout.forwarders.iter().chain(gateways) {
             let (_, of) = all
                 .iter()
-                .find(|(host, _)| host == through)
+                .find(|(host, _)| host == forwarder)
                 .expect("a host");
-            let part = (division.of_host(through), of);
-            let near = parts[&part];
+            let partition = (division.of_host(forwarder), of);
+            let size = partition_sizes[&partition];
             for (host, _) in all
                 .iter()
-                .filter(|(host, domain)| (division.of_host(host), domain) == part)
+                .filter(|(host, domain)| (division.of_host(host), domain) == partition)
             {
                 *sent.entry(host.clone()).or_default() +=
-                    a_second * (near - 1) as f64 / near as f64;
+                    beats_per_second * (size - 1) as f64 / size as f64;
             }
         }
     }
@@ -212,7 +213,7 @@
     (mean, sent.values().copied().fold(0.0, f64::max))
 }
 
-/// The hosts that watch the store, where all live: the first of each domain.
+/// Returns the hosts that watch the store while all are alive: the first ones of each domain.
 fn watchers(division: Division, all: &[Host]) -> BTreeSet<Name> {
     let mut watchers = BTreeSet::new();
     for domain in all
@@ -231,31 +232,34 @@
     watchers
 }
 
-/// The pattern: each host tells each other one, so that ten times the hosts send a hundred times the messages. What a host
-/// sends may grow as the tenth power of the hosts at most, from a hundred on.
+/// If every host sent to every other, ten times the hosts would send a hundred times the messages. From a hundred hosts on,
+/// the messages that one host sends may grow at most as the number of hosts to the power of 0.1.
 #[test]
-fn what_a_host_sends_hardly_grows_with_the_fleet() {
+fn messages_per_host_hardly_grow_with_the_fleet() {
     const POWER: f64 = 0.1;
-    let (least, busiest) = datagrams(100);
+    let (base_mean, base_max) = datagrams(100);
     for count in [300, 1_000, 2_000] {
-        let (mean, most) = datagrams(count);
-        let grown = (count as f64 / 100.0).powf(POWER);
-        assert!(mean <= least * grown, "{count}: {mean} after {least}");
+        let (mean, max) = datagrams(count);
+        let growth = (count as f64 / 100.0).powf(POWER);
+        assert!(
+            mean <= base_mean * growth,
+            "{count}: {mean} after {base_mean}"
+        );
         assert!(
-            most <= 1.5 * busiest * grown,
-            "{count}: {most} after {busiest}"
+            max <= 1.5 * base_max * growth,
+            "{count}: {max} after {base_max}"
         );
     }
 }
 
-/// What a notice says of a request under which servers end reaches each part of the fleet; what is held at a server of
-/// another group reaches the hosts of that group.
+/// Quarantine findings in a notice reach every partition of the fleet. Load held at a server of another group reaches the
+/// hosts of that group.
 #[test]
-fn what_concerns_other_groups_reaches_their_parts() {
+fn notices_that_concern_other_groups_reach_their_partitions() {
     let all = hosts(985);
     let division = Division::of_hosts(985);
     let servers = servers(925);
-    let groups = dealt(division, &servers);
+    let groups = assigned(division, &servers);
     let (name, domain) = &all[3];
     let elsewhere = servers.iter().map(Server::key);
     let elsewhere: Vec<Key> = elsewhere
@@ -273,38 +277,38 @@
         division,
     };
     let listed = || all.iter().map(|(name, domain)| (name, domain));
-    let reached = |scope: &Scope| {
+    let reached_partitions = |scope: &Scope| {
         let gateways = scope.gateways(&sender, 5, listed());
-        let part = |host: &&Name| {
+        let partition = |host: &&Name| {
             let (name, domain) = all.iter().find(|(name, _)| name == *host).expect("a host");
             (division.of_host(name), domain.clone())
         };
-        gateways.iter().map(part).collect::<BTreeSet<_>>()
+        gateways.iter().map(partition).collect::<BTreeSet<_>>()
     };
-    assert!(reached(&notice.scope(&groups)).is_empty());
+    assert!(reached_partitions(&notice.scope(&groups)).is_empty());
     notice.holdings.push(holding);
-    let parts = reached(&notice.scope(&groups));
-    assert_eq!(parts.len(), DOMAINS);
+    let partitions = reached_partitions(&notice.scope(&groups));
+    assert_eq!(partitions.len(), DOMAINS);
     let of = groups.of_server(elsewhere[0]);
-    assert!(parts.iter().all(|(group, _)| *group == of));
+    assert!(partitions.iter().all(|(group, _)| *group == of));
     assert_eq!(notice.for_other_groups(&groups).holdings.len(), 1);
     notice.quarantine.push(Finding {
         fingerprint: "000000000000000000000001".parse().expect("a digest"),
         fact: Fact::Sound { age_ms: 0 },
     });
-    let parts = reached(&notice.scope(&groups));
+    let partitions = reached_partitions(&notice.scope(&groups));
     let groups_but_own = division.groups() as usize - 1;
-    assert_eq!(parts.len(), groups_but_own * DOMAINS);
+    assert_eq!(partitions.len(), groups_but_own * DOMAINS);
 }
 
-/// Hosts that decide who watches the store, and hear of their group and of the watchers of their domain.
+/// Hosts that elect the watchers of the store. Each receives notices from its group and from the watchers of its domain.
 struct Election {
     hosts: Vec<Host>,
     division: Division,
     relays: Vec<Relay>,
     dead: BTreeSet<usize>,
     now: Time,
-    /// All that have ever watched.
+    /// All hosts that have ever been watchers.
     ever: BTreeSet<usize>,
 }
 
@@ -332,7 +336,7 @@
             .collect()
     }
 
-    /// Has all hosts decide anew, by what they have heard until then.
+    /// Lets all hosts decide their roles again from the notices received so far.
     fn step(&mut self) {
         self.now = self.now + Self::STEP;
         let live: Vec<usize> = self.live().collect();
@@ -342,9 +346,9 @@
             .filter(|host| self.relays[**host].role() == Role::Watcher);
         let watch: BTreeSet<Name> = watch.map(|host| self.hosts[*host].0.clone()).collect();
         for own in &live {
-            let heard = heard(&hosts, &self.hosts[*own], self.division, &watch);
-            let own_word = own_word(&self.hosts[*own], self.division);
-            let role = self.relays[*own].decide_role(&own_word, &heard, self.now);
+            let live_hosts = live_hosts(&hosts, &self.hosts[*own], self.division, &watch);
+            let local_status = local_status(&self.hosts[*own], self.division);
+            let role = self.relays[*own].decide_role(&local_status, &live_hosts, self.now);
             if role == Role::Watcher {
                 self.ever.insert(*own);
             }
@@ -358,8 +362,8 @@
     }
 }
 
-/// A thousand hosts start in the same moment: two of each failure domain watch the store, and hardly another one ever
-/// does. Where the whole group of these dies, hosts of the next group step in.
+/// A thousand hosts start at the same moment. Two of each failure domain become watchers of the store, and no other host
+/// ever does. When the whole group of these watchers dies, hosts of the next group take over.
 #[test]
 fn two_hosts_of_each_domain_watch_the_store() {
     let mut election = Election::new(1_000);
@@ -382,46 +386,53 @@
     assert!(watchers.iter().all(|host| !election.dead.contains(host)));
 }
 
-/// The pattern: each host asks one of the two watchers of its failure domain how old the store's word is, so that a watcher
-/// answers the more the larger the domain is. Questions and answers must leave room in a host's 13 KB a second.
+/// Each host asks one of the two watchers of its failure domain to confirm how recent its store status is, so the load of a
+/// watcher grows with the domain. Requests and responses must leave room in a host's 13 KB per second.
 #[test]
-fn no_host_is_asked_by_all_others() {
+fn confirmation_requests_are_spread_over_hosts() {
     const BEATS: u64 = 12;
-    /// A question and its answer with their headers, in bytes.
-    const EXCHANGE: f64 = 110.0;
-    /// What control may take of a host, in bytes a second.
-    const BUDGET: f64 = 13_000.0;
+    /// A request and its response with their headers, in bytes.
+    const EXCHANGE_BYTES: f64 = 110.0;
+    /// Control traffic that a host may have, in bytes per second.
+    const BUDGET_BYTES_PER_S: f64 = 13_000.0;
     for count in [100, 1_000, 2_000] {
         let all = hosts(count);
         let division = Division::of_hosts(count);
         let watch = watchers(division, &all);
-        let mut asked: BTreeMap<&Name, f64> = BTreeMap::new();
+        let mut requests: BTreeMap<&Name, f64> = BTreeMap::new();
         for host in &all {
-            let heard = heard(&all, host, division, &watch);
-            let own = own_word(host, division);
-            let mut any = false;
+            let live_hosts = live_hosts(&all, host, division, &watch);
+            let own = local_status(host, division);
+            let mut has_source = false;
             for beat in 0..BEATS {
-                let sources = own.confirmation_sources(&heard, beat);
-                any |= !sources.is_empty();
+                let sources = own.confirmation_sources(&live_hosts, beat);
+                has_source |= !sources.is_empty();
                 for source in &sources {
-                    *asked.entry(source).or_default() += 1.0 / sources.len() as f64;
+                    *requests.entry(source).or_default() += 1.0 / sources.len() as f64;
                 }
             }
-            assert!(any || watch.contains(&host.0), "{} asks nobody", host.0);
+            assert!(
+                has_source || watch.contains(&host.0),
+                "{} has no source",
+                host.0
+            );
         }
         let seconds = heartbeat::MIN_INTERVAL.as_secs_f64() * BEATS as f64;
-        let most = asked.values().copied().fold(0.0, f64::max) / seconds;
-        assert!(most * EXCHANGE < BUDGET, "{count}: {most}");
+        let max_rate = requests.values().copied().fold(0.0, f64::max) / seconds;
+        assert!(
+            max_rate * EXCHANGE_BYTES < BUDGET_BYTES_PER_S,
+            "{count}: {max_rate}"
+        );
     }
 }
 
-/// Whoever asks for leave to send something to a server asks the same host, of the server's own group, where it lives.
+/// All hosts that request permission to send to a server ask the same host, a live one of the server's group.
 #[test]
-fn all_hosts_take_the_same_one_for_the_owner_of_a_limit() {
+fn all_hosts_agree_on_the_owner_of_a_limit() {
     let all = hosts(1_000);
     let division = Division::of_hosts(1_000);
     let servers = servers(925);
-    let groups = dealt(division, &servers);
+    let groups = assigned(division, &servers);
     for server in servers.iter().map(Server::key).take(40) {
         let group = groups.of_server(server);
         let listed = all.iter().map(|(name, _)| name);
@@ -431,7 +442,7 @@
         let owner = rate_limit::owner(server, of_group.iter().copied());
         let owner = owner.expect("a host of each group");
         assert!(groups.has_server(owner, server));
-        // One that is dead is missed by its group at once, and by others when it gives no answer.
+        // A dead owner is noticed by its group at once, and by other hosts when it doesn't respond.
         let rest = of_group.iter().copied().filter(|name| *name != owner);
         let next = rate_limit::owner(server, rest).expect("another one");
         assert_ne!(next, owner);
