--- a/crates/alderglade-core/src/fleet/quarantine.rs
+++ b/crates/alderglade-core/src/fleet/quarantine.rs
@@ -1,19 +1,21 @@
-//! Requests under which backend servers end, and which are therefore sent to none any more.
+//! Quarantine of requests that crash backend servers.
 //!
-//! A request may end each server that begins to run it. Its caller comes back under another id, to any host, so that no
-//! count of attempts ends it: servers end until none is left. What is kept here is kept by what was asked
-//! ([`Fingerprint`]), is told to all hosts, and outlasts a host in the store.
+//! A request may crash every server that begins to run it. Its caller retries under another id at any host, so a limit on
+//! attempts does not stop it: servers crash until none is left. The quarantine therefore identifies requests by their
+//! [`Fingerprint`], shares its findings with all hosts, and is kept in the store, where it outlives a host.
 //!
-//! A server that ends takes everything with it that it has in hand, and what it had meets again at the next one, because
-//! all hosts hold the same one best. To be there is therefore no proof. A request is held guilty of [`ENOUGH`] ends only
-//! where no other one explains them: those at most ends go first, and what was beside them is explained by them. Of two
-//! that were at the same ends neither is barred before another end parts them, or [`MOST`] have come; nor is one where as
-//! many servers end without it at the same time, as when a rack fails. At [`LAST`] ends nothing speaks for it any more. An
-//! answer that comes to its end clears its request of all that was before, and for a while ([`SOUND`]) of what comes after:
-//! what is asked often is at many ends.
+//! A crashing server takes all its requests with it, and these often meet again at the next server because all hosts rank
+//! the same one best. Having run on a crashed server is therefore no proof. A request is found guilty of
+//! [`GUILTY_CRASHES`] crashes only if no other request explains them. Requests with the most crashes are evaluated first,
+//! and their crashes are then explained for all other requests that ran beside them. Of two requests with the same
+//! crashes, neither is barred until another crash separates them or [`CERTAIN_CRASHES`] is reached. Nor is a request
+//! barred if as many servers crash without it at the same time, as when a rack fails. At [`MAX_CRASHES`] a request is
+//! barred regardless of any other explanation. A completed answer clears its request of all earlier crashes and, for
+//! [`CLEARED_AFTER_SUCCESS`], of later ones: a frequent request is present at many crashes.
 //!
-//! Facts only add up, and each names one lifetime of a server: told late, twice or in another order they come to the same.
-//! They are judged when all hosts have told theirs ([`SETTLED`]); what is to be judged waits for that.
+//! Findings are only ever added, and each refers to one incarnation of a server, so late, repeated or reordered findings
+//! lead to the same result. Crashes are evaluated once all hosts have reported theirs ([`SETTLE_DELAY`]); requests that
+//! depend on the evaluation wait for it.
 
 mod evidence;
 mod finding;
@@ -24,101 +26,107 @@
 use super::fingerprint::Fingerprint;
 use super::incarnation::Key;
 use crate::time::Time;
-use evidence::{Crash, Ends, Suspect};
-use finding::Own;
-use interruption::{Breaks, Interruption};
+use evidence::{Crash, CrashTimes, Suspect};
+use finding::OwnFinding;
+use interruption::{Interruption, Interruptions};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Ends of servers that show that a request causes them. One may be chance, two may be where many end at once; the users
-/// allow three.
-const ENOUGH: usize = 3;
-/// Ends from which on a request is barred even if others were at all of them too, or many servers ended beside.
-const MOST: usize = 5;
-/// Ends from which on a request is barred whoever else explains them: three sends beyond the third end are the most that
-/// users allow, and where several such requests come together, those that are barred first explain the others' ends.
-const LAST: usize = 6;
-/// A request that has run for longer at a server has not ended it: such a one ends it as it begins to run, within 0.2 s
-/// in each of the ends recorded. Innocent long answers are seldom so young at three ends in a row.
-const BEGINS: Duration = Duration::from_millis(2_000);
-/// How long a request that was answered to its end is not barred, whatever ends beside it. What ends servers is never
-/// answered; what many callers ask for is, some times in this time, also while servers end on and on.
-const SOUND: Duration = Duration::from_secs(10);
-/// How long ends count. A caller that comes back does so within minutes.
-const FORGOTTEN: Duration = Duration::from_secs(600);
-/// How long a request is barred. Whoever mends the servers sooner can have it released by hand.
-pub const BARRED: Duration = Duration::from_secs(3_600);
-/// How old an end is when it is judged: hosts that had something at the server notice it within some milliseconds, and
-/// tell the others within as many. Who was beside the cause would else be judged by what is known of itself alone.
-const SETTLED: Duration = Duration::from_millis(200);
-/// Requests of which ends are remembered, at most; about a hundred bytes each. Those go first of which least is known.
-const MOST_SUSPECTS: usize = 2_048;
-/// Ends of servers that are remembered, at most; three for each server of the largest deployment.
-const MOST_ENDS: usize = 4_096;
-/// Requests that are barred at a time, at most.
-const MOST_BARRED: usize = 2_048;
-
-/// What has been decided on a request.
+/// Number of unexplained crashes that show that a request causes them. One may be chance, and so may two when many servers
+/// crash at once. Three crashes are tolerated.
+const GUILTY_CRASHES: usize = 3;
+/// Number of crashes at which a request is barred even if other requests share all of them or many servers crashed at the
+/// same time.
+const CERTAIN_CRASHES: usize = 5;
+/// Number of crashes at which a request is barred regardless of any other explanation. At most three sends after the third
+/// crash are tolerated, and when several such requests come together, those barred first explain the crashes of
+/// the others.
+const MAX_CRASHES: usize = 6;
+/// A request that has run at a server for longer than this did not crash it. A request that crashes servers does so as it
+/// begins to run, within 0.2 s in every recorded crash. Innocent long answers are rarely this young at three crashes in a
+/// row.
+const CRASH_WINDOW: Duration = Duration::from_millis(2_000);
+/// How long a request is not barred after a completed answer, regardless of crashes. A request that crashes servers is
+/// never answered; one that many callers send is answered several times within this time, even while servers keep
+/// crashing.
+const CLEARED_AFTER_SUCCESS: Duration = Duration::from_secs(10);
+/// How long crashes count. Callers that retry do so within minutes.
+const CRASH_RETENTION: Duration = Duration::from_secs(600);
+/// How long a request is barred. It can be released by hand if the servers are fixed sooner.
+pub const BAR_DURATION: Duration = Duration::from_secs(3_600);
+/// Age at which a crash is evaluated. Hosts with requests at the server notice the crash within a few milliseconds and
+/// report it to the others within a few more. Evaluated earlier, a request that only ran beside the cause would be judged
+/// by its own crashes alone.
+const SETTLE_DELAY: Duration = Duration::from_millis(200);
+/// Maximum number of requests whose crashes are remembered, at about a hundred bytes each. Requests with the fewest
+/// crashes are evicted first.
+const MAX_SUSPECTS: usize = 2_048;
+/// Maximum number of server crashes that are remembered; three for each server of the largest deployment.
+const MAX_CRASHED_SERVERS: usize = 4_096;
+/// Maximum number of requests that are barred at a time.
+const MAX_BARRED: usize = 2_048;
+
+/// A decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Verdict {
-    /// What was asked.
+    /// The request.
     pub fingerprint: Fingerprint,
-    /// What becomes of it.
+    /// Whether it is barred or released.
     pub decision: Decision,
-    /// Whether this host has seen a part of it itself, and so should have it kept in the store.
+    /// Whether this host has first-hand evidence and so should write the decision to the store.
     pub first_hand: bool,
 }
 
-/// What becomes of a request.
+/// The outcome for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It is sent to no server any more, after so many have ended under it.
+    /// It is not sent to any server. Holds the number of crashes known of it.
     Barred(usize),
-    /// It is sent again.
+    /// It may be sent again.
     Released,
 }
 
-/// What one host knows of requests under which servers end.
+/// The crashes, suspects and barred requests known to one host.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspects: BTreeMap<Fingerprint, Suspect>,
-    /// When requests were answered to their end lately: what was asked in a time of [`SOUND`].
-    sound: BTreeMap<Fingerprint, Time>,
-    /// When servers ended, with whatever in their hands. What has cleared a request doesn't undo the end.
-    ends: Ends,
-    /// What servers have broken off of which it is not known whether they have ended.
-    breaks: Breaks,
-    /// Whether there is anything that was not judged yet.
-    unjudged: bool,
+    /// When each request was last answered completely, within the last [`CLEARED_AFTER_SUCCESS`].
+    succeeded: BTreeMap<Fingerprint, Time>,
+    /// When each server crashed, regardless of its requests. Clearing a request doesn't undo a crash.
+    server_crashes: CrashTimes,
+    /// Interruptions at servers that are not yet known to have crashed.
+    interruptions: Interruptions,
+    /// Whether there are crashes that have not been evaluated.
+    needs_evaluation: bool,
     /// Until when each request is barred.
     barred: BTreeMap<Fingerprint, Time>,
-    /// The requests that were barred lately and aren't any more, and since when. A copy of the store may hold them still.
+    /// Recently released requests, with the time of release. A copy of the store may still list them as barred.
     released: BTreeMap<Fingerprint, Time>,
-    /// What this host tells the others.
-    own: Vec<Own>,
-    /// What has been decided since it was last asked for.
+    /// Findings that this host reports to the others.
+    own_findings: Vec<OwnFinding>,
+    /// Decisions since the last [`Quarantine::take_verdicts`].
     verdicts: Vec<Verdict>,
 }
 
 impl Quarantine {
-    /// Gives how much longer a request is barred, if it is.
+    /// Returns how much longer a request is barred, if it is.
     pub fn barred_for(&self, fingerprint: Fingerprint, now: Time) -> Option<Duration> {
         let until = self.barred.get(&fingerprint)?;
         Some(until.left(now)).filter(|left| !left.is_zero())
     }
 
-    /// Gives how many requests are barred.
+    /// Returns the number of barred requests.
     pub fn len(&self) -> usize {
         self.barred.len()
     }
 
-    /// Says whether none is.
+    /// Returns whether no request is barred.
     pub fn is_empty(&self) -> bool {
         self.barred.is_empty()
     }
 
-    /// Notes that a server broke a request off, which had run there for `ran` if it had begun. The connection shows only
-    /// that it broke: it counts where [`Quarantine::note_ended`] follows.
+    /// Records that a server interrupted a request, which had run there for `ran` if it had begun. A broken connection is no
+    /// proof of a crash: the interruption counts only if [`Quarantine::record_server_end`] follows.
     pub fn record_interruption(
         &mut self,
         fingerprint: Fingerprint,
@@ -126,10 +134,10 @@
         ran: Option<Duration>,
         now: Time,
     ) {
-        if ran.is_some_and(|ran| ran > BEGINS) {
+        if ran.is_some_and(|ran| ran > CRASH_WINDOW) {
             return;
         }
-        self.breaks.add(Interruption {
+        self.interruptions.add(Interruption {
             fingerprint,
             server,
             begun: ran.is_some(),
@@ -137,41 +145,43 @@
         });
     }
 
-    /// Lists the servers that broke something off lately and are not known to live or to have ended.
+    /// Returns the servers that recently interrupted a request and are known neither to be alive nor to have crashed.
     pub fn unconfirmed_servers(&mut self, now: Time) -> BTreeSet<Key> {
-        self.breaks.servers(now)
+        self.interruptions.servers(now)
     }
 
-    /// Notes that a server has ended: what it broke off was in its hands then.
+    /// Records that a server has crashed. Its interruptions count as crashes of their requests.
     pub fn record_server_end(&mut self, server: Key, now: Time) {
-        for interruption in self.breaks.take(server) {
+        for interruption in self.interruptions.take(server) {
             let crash = Crash {
                 server,
                 at: now,
                 begun: interruption.begun,
             };
-            if self.add(interruption.fingerprint, crash, now) {
+            if self.add_crash(interruption.fingerprint, crash, now) {
                 let fact = Fact::crash(&crash);
-                self.own.push(Own::new(interruption.fingerprint, fact, now));
+                self.own_findings
+                    .push(OwnFinding::new(interruption.fingerprint, fact, now));
             }
         }
     }
 
-    /// Notes that a server has answered: it lives, whatever it broke off before.
+    /// Records a response of a server. It is alive, so its earlier interruptions do not count.
     pub fn record_alive(&mut self, server: Key) {
-        self.breaks.take(server);
+        self.interruptions.take(server);
     }
 
-    /// Notes that a request was answered to its end: no end of a server before that was its fault.
+    /// Records that a request was answered completely. No earlier crash was its fault.
     pub fn record_success(&mut self, fingerprint: Fingerprint, now: Time) {
-        self.breaks.clear(fingerprint);
-        self.sound.insert(fingerprint, now);
+        self.interruptions.clear(fingerprint);
+        self.succeeded.insert(fingerprint, now);
         if self.clear(fingerprint, now, true) {
-            self.own.push(Own::sound(fingerprint, now, now));
+            self.own_findings
+                .push(OwnFinding::success(fingerprint, now, now));
         }
     }
 
-    /// Takes what another host tells.
+    /// Applies a finding of another host.
     pub fn apply_finding(&mut self, finding: &Finding, now: Time) {
         match finding.fact {
             Fact::Crash {
@@ -181,39 +191,40 @@
             } => {
                 let at = now - Duration::from_millis(u64::from(age_ms));
                 let crash = Crash { server, at, begun };
-                self.add(finding.fingerprint, crash, now);
+                self.add_crash(finding.fingerprint, crash, now);
             }
             Fact::Sound { age_ms } => {
                 let at = now - Duration::from_millis(u64::from(age_ms));
-                // It may come before the end of which it clears the request.
+                // The finding may arrive before that of the crash it clears.
                 self.make_room(finding.fingerprint);
                 self.suspects.entry(finding.fingerprint).or_default();
                 self.clear(finding.fingerprint, at, false);
             }
             Fact::Barred { left_s } => {
-                let left = Duration::from_secs(u64::from(left_s)).min(BARRED);
+                let left = Duration::from_secs(u64::from(left_s)).min(BAR_DURATION);
                 self.bar(finding.fingerprint, left, now);
             }
         }
     }
 
-    /// Takes from the store that a request is barred, and has the others told.
+    /// Applies a bar read from the store, and reports it to the other hosts.
     pub fn apply_stored_bar(&mut self, fingerprint: Fingerprint, left: Duration, now: Time) {
-        let left = left.min(BARRED);
+        let left = left.min(BAR_DURATION);
         if self.bar(fingerprint, left, now) {
-            self.own.push(Own::new(fingerprint, Fact::barred(), now));
+            self.own_findings
+                .push(OwnFinding::new(fingerprint, Fact::barred(), now));
         }
     }
 
-    /// Takes from the store that a request is barred no more, and has the others told.
+    /// Applies a release read from the store, and reports it to the other hosts.
     pub fn apply_stored_release(&mut self, fingerprint: Fingerprint, now: Time) {
         if self.barred.contains_key(&fingerprint) {
             self.record_success(fingerprint, now);
         }
     }
 
-    /// Takes what a copy of the store lists: what is barred and missing there is to be kept again, what was released since
-    /// is to be removed again. The rest counts.
+    /// Applies the list of barred requests from a restored copy of the store. Barred requests that are missing there are to
+    /// be stored again, and ones that were released since are to be removed again. All others are barred.
     pub fn restore(&mut self, listed: &[(Fingerprint, Duration)], now: Time) {
         let mut stale = Vec::new();
         for (fingerprint, left) in listed {
@@ -232,7 +243,7 @@
             .collect();
         let missing = missing
             .into_iter()
-            .map(|fingerprint| (fingerprint, self.barring(fingerprint)));
+            .map(|fingerprint| (fingerprint, self.bar_decision(fingerprint)));
         let stale = stale
             .into_iter()
             .map(|fingerprint| (fingerprint, Decision::Released));
@@ -247,121 +258,134 @@
         self.verdicts.extend(verdicts);
     }
 
-    /// Gives what the others are to be told now: what is new, and in a `whole` notice also what may have been lost.
-    pub fn findings_to_report(&mut self, whole: bool, now: Time) -> Vec<Finding> {
-        /// Facts in a notice: some twenty bytes each, beside its holdings.
-        const MOST: usize = 24;
-        self.own.retain(|own| own.is_told(now));
-        let due = self.own.iter_mut().filter(|own| whole || own.is_new());
+    /// Returns the findings to report now: new ones, and in a `full` notice also recent ones that may have been lost.
+    pub fn findings_to_report(&mut self, full: bool, now: Time) -> Vec<Finding> {
+        /// Maximum number of findings in a notice. Each takes about twenty bytes, in addition to the holdings.
+        const MAX_REPORTED: usize = 24;
+        self.own_findings.retain(|own| own.is_reported(now));
+        let due = self
+            .own_findings
+            .iter_mut()
+            .filter(|own| full || own.is_new());
         let barred = &self.barred;
-        due.take(MOST)
-            .map(|own| own.tell(barred.get(&own.fingerprint()), now))
+        due.take(MAX_REPORTED)
+            .map(|own| own.report(barred.get(&own.fingerprint()), now))
             .collect()
     }
 
-    /// Gives what has been decided since the last call.
+    /// Returns the decisions since the last call.
     pub fn take_verdicts(&mut self) -> Vec<Verdict> {
         std::mem::take(&mut self.verdicts)
     }
 
-    /// Says whether a request is judged where one more server ends under it.
+    /// Returns whether one more crash suffices for the request to be evaluated.
     pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
         let suspect = self.suspects.get(&fingerprint);
-        suspect.is_some_and(|suspect| suspect.crashes().len() + 1 >= ENOUGH)
+        suspect.is_some_and(|suspect| suspect.crashes().len() + 1 >= GUILTY_CRASHES)
     }
 
-    /// Says whether a request is about to be judged, and should wait for that. It takes no longer than a moment.
+    /// Returns whether a request is about to be evaluated and should wait for the verdict. The wait is short.
     pub fn is_pending(&self, fingerprint: Fingerprint, now: Time) -> bool {
         let suspect = self.suspects.get(&fingerprint);
-        let soon = suspect.is_some_and(|suspect| {
-            suspect.is_judged_after(now - SETTLED) && !suspect.was_sound_after(now - SOUND)
+        let is_due = suspect.is_some_and(|suspect| {
+            suspect.is_due_after(now - SETTLE_DELAY)
+                && !suspect.succeeded_after(now - CLEARED_AFTER_SUCCESS)
         });
-        soon && !self.barred.contains_key(&fingerprint)
+        is_due && !self.barred.contains_key(&fingerprint)
     }
 
-    /// Judges by what is settled now: bars who is found guilty, and releases who was barred for another one.
+    /// Evaluates all settled crashes: bars requests that are found guilty and releases those barred in place of another.
     pub fn evaluate(&mut self, now: Time) {
-        if !self.unjudged {
+        if !self.needs_evaluation {
             return;
         }
-        let until = now - SETTLED;
-        self.unjudged = self.suspects.values().any(|suspect| suspect.last() > until);
+        let until = now - SETTLE_DELAY;
+        self.needs_evaluation = self
+            .suspects
+            .values()
+            .any(|suspect| suspect.last_change() > until);
         let is_barred = |fingerprint| self.barred.contains_key(&fingerprint);
-        let judgement = evidence::judge(&self.suspects, &self.ends, is_barred, until);
+        let judgement = evidence::evaluate(&self.suspects, &self.server_crashes, is_barred, until);
         for fingerprint in judgement.guilty {
-            if self.bar(fingerprint, BARRED, now) && self.is_first_hand(fingerprint) {
-                self.own.push(Own::new(fingerprint, Fact::barred(), now));
+            if self.bar(fingerprint, BAR_DURATION, now) && self.is_first_hand(fingerprint) {
+                self.own_findings
+                    .push(OwnFinding::new(fingerprint, Fact::barred(), now));
             }
         }
-        // Its ends stay known, and count towards its last.
+        // The crashes stay recorded and count towards MAX_CRASHES.
         for fingerprint in judgement.innocent {
             self.unbar(fingerprint, self.is_first_hand(fingerprint), now);
         }
     }
 
-    /// Lets lapse what is over its time.
+    /// Drops expired records, and releases requests whose bar has expired.
     pub fn expire(&mut self, now: Time) {
         self.suspects
-            .retain(|_, suspect| now.since(suspect.last()) < FORGOTTEN);
-        self.sound.retain(|_, at| now.since(*at) < SOUND);
-        self.ends.retain(|_, at| now.since(*at) < FORGOTTEN);
-        let over = self.barred.iter().filter(|(_, until)| **until <= now);
-        let over: Vec<Fingerprint> = over.map(|(fingerprint, _)| *fingerprint).collect();
-        for fingerprint in over {
+            .retain(|_, suspect| now.since(suspect.last_change()) < CRASH_RETENTION);
+        self.succeeded
+            .retain(|_, at| now.since(*at) < CLEARED_AFTER_SUCCESS);
+        self.server_crashes
+            .retain(|_, at| now.since(*at) < CRASH_RETENTION);
+        let expired = self.barred.iter().filter(|(_, until)| **until <= now);
+        let expired: Vec<Fingerprint> = expired.map(|(fingerprint, _)| *fingerprint).collect();
+        for fingerprint in expired {
             self.unbar(fingerprint, false, now);
         }
-        self.released.retain(|_, at| now.since(*at) < FORGOTTEN);
+        self.released
+            .retain(|_, at| now.since(*at) < CRASH_RETENTION);
     }
 
-    /// Adds an end; says whether it is new and counts.
-    fn add(&mut self, fingerprint: Fingerprint, crash: Crash, now: Time) -> bool {
-        if self.ends.len() < MOST_ENDS {
-            self.ends.entry(crash.server).or_insert(crash.at);
+    /// Adds a crash of a request. Returns whether it is new and counts.
+    fn add_crash(&mut self, fingerprint: Fingerprint, crash: Crash, now: Time) -> bool {
+        if self.server_crashes.len() < MAX_CRASHED_SERVERS {
+            self.server_crashes.entry(crash.server).or_insert(crash.at);
         }
         self.make_room(fingerprint);
         let suspect = self.suspects.entry(fingerprint).or_default();
-        let added = suspect.add(crash);
-        self.unjudged |= added;
-        // Who knows that it was answered lately tells so, where it is suspected.
-        if let Some(at) = self.sound.get(&fingerprint).copied()
+        let added = suspect.add_crash(crash);
+        self.needs_evaluation |= added;
+        // A host that has answered a suspected request recently reports that.
+        if let Some(at) = self.succeeded.get(&fingerprint).copied()
             && suspect.clear(at) | added
         {
-            self.own.push(Own::sound(fingerprint, at, now));
+            self.own_findings
+                .push(OwnFinding::success(fingerprint, at, now));
         }
         added
     }
 
-    /// Forgets the request of which least is known, the oldest of those, where another one finds no room.
+    /// Evicts the request with the fewest crashes, and of these the oldest, if there is no room for another one.
     fn make_room(&mut self, fingerprint: Fingerprint) {
-        let known = self.suspects.contains_key(&fingerprint);
-        if known || self.suspects.len() < MOST_SUSPECTS {
+        let is_known = self.suspects.contains_key(&fingerprint);
+        if is_known || self.suspects.len() < MAX_SUSPECTS {
             return;
         }
         let suspects = self.suspects.iter();
-        let least = suspects.min_by_key(|(_, suspect)| (suspect.crashes().len(), suspect.last()));
-        if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
+        let weakest =
+            suspects.min_by_key(|(_, suspect)| (suspect.crashes().len(), suspect.last_change()));
+        if let Some(fingerprint) = weakest.map(|(fingerprint, _)| *fingerprint) {
             self.suspects.remove(&fingerprint);
         }
     }
 
-    /// Clears a request of all ends up to a time; says whether it was suspected of any.
+    /// Clears a request of all crashes up to a time. Returns whether it was suspected of any or barred.
     fn clear(&mut self, fingerprint: Fingerprint, at: Time, first_hand: bool) -> bool {
-        let barred = self.barred.contains_key(&fingerprint);
+        let was_barred = self.barred.contains_key(&fingerprint);
         let cleared = self
             .suspects
             .get_mut(&fingerprint)
             .is_some_and(|suspect| suspect.clear(at));
-        if barred {
+        if was_barred {
             self.unbar(fingerprint, first_hand, at);
         }
-        cleared || barred
+        cleared || was_barred
     }
 
-    /// Bars a request; says whether it was not barred before.
+    /// Bars a request. Returns whether it was not barred before and there was room.
     fn bar(&mut self, fingerprint: Fingerprint, left: Duration, now: Time) -> bool {
         if left.is_zero()
             || self.barred_for(fingerprint, now).is_some()
-            || self.barred.len() >= MOST_BARRED
+            || self.barred.len() >= MAX_BARRED
         {
             return false;
         }
@@ -369,18 +393,19 @@
         self.released.remove(&fingerprint);
         self.verdicts.push(Verdict {
             fingerprint,
-            decision: self.barring(fingerprint),
+            decision: self.bar_decision(fingerprint),
             first_hand: self.is_first_hand(fingerprint),
         });
         true
     }
 
-    /// Gives the decision that bars a request.
-    fn barring(&self, fingerprint: Fingerprint) -> Decision {
+    /// Returns the decision to bar a request, with its number of crashes.
+    fn bar_decision(&self, fingerprint: Fingerprint) -> Decision {
         let suspect = self.suspects.get(&fingerprint);
         Decision::Barred(suspect.map_or(0, |suspect| suspect.crashes().len()))
     }
 
+    /// Releases a request if it is barred.
     fn unbar(&mut self, fingerprint: Fingerprint, first_hand: bool, now: Time) {
         if self.barred.remove(&fingerprint).is_some() {
             self.released.insert(fingerprint, now);
@@ -392,8 +417,10 @@
         }
     }
 
-    /// Says whether this host has a part in what is told of a request.
+    /// Returns whether this host itself reports findings on a request.
     fn is_first_hand(&self, fingerprint: Fingerprint) -> bool {
-        self.own.iter().any(|own| own.fingerprint() == fingerprint)
+        self.own_findings
+            .iter()
+            .any(|own| own.fingerprint() == fingerprint)
     }
 }
--- a/crates/alderglade-core/src/fleet/quarantine/evidence.rs
+++ b/crates/alderglade-core/src/fleet/quarantine/evidence.rs
@@ -1,6 +1,6 @@
-//! What speaks against a request, and who is held guilty by it.
+//! Evidence against requests, and the decision on which of them are guilty.
 
-use super::{ENOUGH, LAST, MOST, SOUND};
+use super::{CERTAIN_CRASHES, CLEARED_AFTER_SUCCESS, GUILTY_CRASHES, MAX_CRASHES};
 use crate::fleet::fingerprint::Fingerprint;
 use crate::fleet::incarnation::Key;
 use crate::time::Time;
@@ -8,200 +8,213 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A server that has ended with a request in its hands.
+/// A server crash while the server had a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Crash {
-    /// The server, in one of its lifetimes.
+    /// The incarnation of the server.
     pub(super) server: Key,
-    /// When it ended.
+    /// Time of the crash.
     pub(super) at: Time,
     /// Whether the request is known to have begun to run there.
     pub(super) begun: bool,
 }
 
-/// A request that was at ends of servers.
+/// The history of a request that was present at crashes.
 #[derive(Debug, Default)]
 pub(super) struct Suspect {
     crashes: Vec<Crash>,
-    /// When it was last answered to its end.
-    sound: Option<Time>,
-    /// When there was last anything to note.
-    last: Time,
+    /// When it was last answered completely.
+    succeeded_at: Option<Time>,
+    /// Time of the latest crash or completed answer.
+    last_change: Time,
 }
 
 impl Suspect {
-    /// Gives the ends that count.
+    /// Returns the crashes that count.
     pub(super) fn crashes(&self) -> &[Crash] {
         &self.crashes
     }
 
-    /// Gives when there was last anything to note.
-    pub(super) fn last(&self) -> Time {
-        self.last
+    /// Returns the time of the latest crash or completed answer.
+    pub(super) fn last_change(&self) -> Time {
+        self.last_change
     }
 
-    /// Adds an end; says whether it is new and counts.
-    pub(super) fn add(&mut self, crash: Crash) -> bool {
-        /// Ends that are remembered: more than decide anything.
-        const REMEMBERED: usize = 16;
-        let cleared = self.sound.is_some_and(|sound| crash.at <= sound);
-        let known = self
+    /// Adds a crash. Returns whether it is new and counts.
+    pub(super) fn add_crash(&mut self, crash: Crash) -> bool {
+        /// Maximum number of crashes that are remembered. This exceeds all thresholds.
+        const MAX_REMEMBERED: usize = 16;
+        let is_cleared = self
+            .succeeded_at
+            .is_some_and(|succeeded_at| crash.at <= succeeded_at);
+        let is_known = self
             .crashes
             .iter()
             .any(|known| known.server == crash.server);
-        if cleared || known || self.crashes.len() >= REMEMBERED {
+        if is_cleared || is_known || self.crashes.len() >= MAX_REMEMBERED {
             return false;
         }
         self.crashes.push(crash);
-        self.last = self.last.max(crash.at);
+        self.last_change = self.last_change.max(crash.at);
         true
     }
 
-    /// Clears it of all ends up to a time; says whether there were any.
+    /// Clears the request of all crashes up to a time. Returns whether there were any.
     pub(super) fn clear(&mut self, at: Time) -> bool {
         let before = self.crashes.len();
         self.crashes.retain(|crash| crash.at > at);
-        self.sound = self.sound.max(Some(at));
-        self.last = self.last.max(at);
+        self.succeeded_at = self.succeeded_at.max(Some(at));
+        self.last_change = self.last_change.max(at);
         self.crashes.len() < before
     }
 
-    /// Says whether it was answered to its end after a time.
-    pub(super) fn was_sound_after(&self, at: Time) -> bool {
-        self.sound > Some(at)
+    /// Returns whether it was answered completely after a time.
+    pub(super) fn succeeded_after(&self, at: Time) -> bool {
+        self.succeeded_at > Some(at)
     }
 
-    /// Says whether it is at enough ends to be judged, the last of them after a time.
-    pub(super) fn is_judged_after(&self, at: Time) -> bool {
+    /// Returns whether it has enough crashes to be evaluated, the latest of them after a time.
+    pub(super) fn is_due_after(&self, at: Time) -> bool {
         let newest = self.crashes.iter().map(|crash| crash.at).max();
-        self.crashes.len() >= ENOUGH && newest > Some(at)
+        self.crashes.len() >= GUILTY_CRASHES && newest > Some(at)
     }
 
-    /// Gives what speaks against it of what happened up to a time.
-    fn accused(&self, fingerprint: Fingerprint, until: Time) -> Accused {
+    /// Returns the evidence against it up to a time.
+    fn evidence_until(&self, fingerprint: Fingerprint, until: Time) -> Accused {
         let crashes = self.crashes.iter().filter(|crash| crash.at <= until);
         let begun = crashes.clone().filter(|crash| crash.begun).count();
-        let ends: Ends = crashes.map(|crash| (crash.server, crash.at)).collect();
+        let crashes: CrashTimes = crashes.map(|crash| (crash.server, crash.at)).collect();
         Accused {
             fingerprint,
-            ends,
+            crashes,
             begun,
         }
     }
 }
 
-/// Servers whose ends are explained.
+/// Servers whose crashes are explained.
 type Servers = BTreeSet<Key>;
 
-/// When servers ended.
-pub(super) type Ends = BTreeMap<Key, Time>;
+/// The time of the crash of each server.
+pub(super) type CrashTimes = BTreeMap<Key, Time>;
 
-/// What speaks against a request.
+/// The evidence against a request.
 struct Accused {
     fingerprint: Fingerprint,
-    ends: Ends,
-    /// How many of them it is known to have begun to run at.
+    /// Servers that crashed while they had the request.
+    crashes: CrashTimes,
+    /// Number of these servers on which it is known to have begun to run.
     begun: usize,
 }
 
 impl Accused {
-    /// Gives how much speaks against it: ends, and among as many those at which it had begun to run.
+    /// Returns the weight of the evidence: the number of crashes, then of those at which the request had begun to run.
     fn rank(&self) -> (usize, usize) {
-        (self.ends.len(), self.begun)
+        (self.crashes.len(), self.begun)
     }
 
-    /// Says whether it was at enough ends that nothing else explains.
-    fn answers_for_enough(&self, explained: &Servers) -> bool {
-        let servers = self.ends.keys();
-        servers.filter(|server| !explained.contains(server)).count() >= ENOUGH
+    /// Returns whether it has enough crashes that no other request explains.
+    fn has_unexplained_crashes(&self, explained: &Servers) -> bool {
+        let servers = self.crashes.keys();
+        servers.filter(|server| !explained.contains(server)).count() >= GUILTY_CRASHES
     }
 
-    /// Says whether it was at each end that another one was at, and at more.
+    /// Returns whether it has all crashes of another request, and more.
     fn explains_more_than(&self, other: &Accused) -> bool {
-        let all = other
-            .ends
+        let has_all = other
+            .crashes
             .keys()
-            .all(|server| self.ends.contains_key(server));
-        all && !other.ends.is_empty() && other.ends.len() < self.ends.len()
+            .all(|server| self.crashes.contains_key(server));
+        has_all && !other.crashes.is_empty() && other.crashes.len() < self.crashes.len()
     }
 
-    /// Says whether as many servers ended without it, from shortly before its first end to its last: then its own may be
-    /// chance.
-    fn is_one_of_many(&self, all: &Ends, explained: &Servers) -> bool {
-        /// What makes many servers end does so within about a second; where a quarter of ninety did, up to five had ended
-        /// before the first one that had this request.
-        const BEFORE: Duration = Duration::from_millis(2_000);
-        let first = self.ends.values().min().map(|first| *first - BEFORE);
-        let last = self.ends.values().max().copied();
-        let meanwhile = |at: &Time| (first..=last).contains(&Some(*at));
-        let without = all.iter().filter(|(server, at)| {
-            meanwhile(at) && !self.ends.contains_key(server) && !explained.contains(server)
+    /// Returns whether as many servers crashed without it, from shortly before its first crash until its last. Its own
+    /// crashes may then be chance.
+    fn may_be_chance(&self, all: &CrashTimes, explained: &Servers) -> bool {
+        /// A common cause crashes many servers within about a second. When it crashed a quarter of ninety servers, up to five
+        /// had crashed before the first one with this request.
+        const LEAD_TIME: Duration = Duration::from_millis(2_000);
+        let first = self.crashes.values().min().map(|first| *first - LEAD_TIME);
+        let last = self.crashes.values().max().copied();
+        let in_window = |at: &Time| (first..=last).contains(&Some(*at));
+        let crashed_without = all.iter().filter(|(server, at)| {
+            in_window(at) && !self.crashes.contains_key(server) && !explained.contains(server)
         });
-        without.count() >= self.ends.len()
+        crashed_without.count() >= self.crashes.len()
     }
 
-    /// Says whether there are so many ends that neither chance nor another request at the same ones speaks for it.
-    fn is_beyond_doubt(&self) -> bool {
-        self.ends.len() >= MOST
+    /// Returns whether it has so many crashes that neither chance nor another request with the same ones excuses it.
+    fn is_certain(&self) -> bool {
+        self.crashes.len() >= CERTAIN_CRASHES
     }
 
-    /// Says whether there are so many ends that it must not be sent again, whatever explains them.
-    fn is_at_its_last(&self) -> bool {
-        self.ends.len() >= LAST
+    /// Returns whether it has so many crashes that it must not be sent again, regardless of any explanation.
+    fn has_max_crashes(&self) -> bool {
+        self.crashes.len() >= MAX_CRASHES
     }
 }
 
-/// Who is held guilty, and who no longer is.
+/// Requests that are found guilty, and barred ones that no longer are.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) struct Judgement {
     pub(super) guilty: Vec<Fingerprint>,
     pub(super) innocent: Vec<Fingerprint>,
 }
 
-/// Judges requests by what happened up to a time, `all` ends of servers among it; those that are barred by now explain what
-/// they were at.
-pub(super) fn judge(
+/// Evaluates requests by the evidence up to a time. `all` are the crashes of all servers. Requests that are barred already
+/// explain their crashes.
+pub(super) fn evaluate(
     suspects: &BTreeMap<Fingerprint, Suspect>,
-    all: &Ends,
+    all: &CrashTimes,
     is_barred: impl Fn(Fingerprint) -> bool,
     until: Time,
 ) -> Judgement {
-    let lately = until - SOUND;
+    let cleared_since = until - CLEARED_AFTER_SUCCESS;
     let known = suspects.iter();
-    let known = known.filter(|(_, suspect)| !suspect.was_sound_after(lately));
-    let known = known.map(|(fingerprint, suspect)| suspect.accused(*fingerprint, until));
-    let (barred, mut accused): (Vec<_>, Vec<_>) = known.partition(|one| is_barred(one.fingerprint));
+    let known = known.filter(|(_, suspect)| !suspect.succeeded_after(cleared_since));
+    let known = known.map(|(fingerprint, suspect)| suspect.evidence_until(*fingerprint, until));
+    let (barred, mut accused): (Vec<_>, Vec<_>) =
+        known.partition(|accused| is_barred(accused.fingerprint));
     let mut explained: Servers = barred
         .iter()
-        .flat_map(|one| one.ends.keys())
+        .flat_map(|accused| accused.crashes.keys())
         .copied()
         .collect();
-    accused.retain(|one| one.ends.len() >= ENOUGH);
-    accused.sort_by_key(|one| Reverse(one.rank()));
+    accused.retain(|request| request.crashes.len() >= GUILTY_CRASHES);
+    accused.sort_by_key(|request| Reverse(request.rank()));
     let mut judgement = Judgement::default();
-    for one in &accused {
-        let lesser = barred.iter().filter(|other| one.explains_more_than(other));
-        let lesser: Vec<Fingerprint> = lesser.map(|other| other.fingerprint).collect();
-        let alone = one.answers_for_enough(&explained) || !lesser.is_empty();
-        let answers = alone || one.is_at_its_last();
-        let doubtful =
-            || is_ambiguous(one, &accused, &explained) || one.is_one_of_many(all, &explained);
-        if answers && (one.is_beyond_doubt() || !doubtful()) {
-            explained.extend(one.ends.keys());
-            judgement.guilty.push(one.fingerprint);
-            judgement.innocent.extend(lesser);
+    for request in &accused {
+        let excused = barred
+            .iter()
+            .filter(|other| request.explains_more_than(other));
+        let excused: Vec<Fingerprint> = excused.map(|other| other.fingerprint).collect();
+        let is_sole_cause = request.has_unexplained_crashes(&explained) || !excused.is_empty();
+        let is_responsible = is_sole_cause || request.has_max_crashes();
+        let is_doubtful = || {
+            is_ambiguous(request, &accused, &explained) || request.may_be_chance(all, &explained)
+        };
+        if is_responsible && (request.is_certain() || !is_doubtful()) {
+            explained.extend(request.crashes.keys());
+            judgement.guilty.push(request.fingerprint);
+            judgement.innocent.extend(excused);
         }
     }
     judgement
 }
 
-/// Says whether another request, against which as much speaks, would go free where this one is held guilty.
-fn is_ambiguous(one: &Accused, accused: &[Accused], explained: &Servers) -> bool {
-    let by_this: Servers = explained.iter().chain(one.ends.keys()).copied().collect();
+/// Returns whether another request with equal evidence would go free if this one were found guilty.
+fn is_ambiguous(request: &Accused, accused: &[Accused], explained: &Servers) -> bool {
+    let explained_by_this: Servers = explained
+        .iter()
+        .chain(request.crashes.keys())
+        .copied()
+        .collect();
     let goes_free = |other: &Accused| {
-        other.answers_for_enough(explained) && !other.answers_for_enough(&by_this)
+        other.has_unexplained_crashes(explained)
+            && !other.has_unexplained_crashes(&explained_by_this)
+    };
+    let is_equal = |other: &&Accused| {
+        other.fingerprint != request.fingerprint && other.rank() == request.rank()
     };
-    let as_much =
-        |other: &&Accused| other.fingerprint != one.fingerprint && other.rank() == one.rank();
-    accused.iter().filter(as_much).any(goes_free)
+    accused.iter().filter(is_equal).any(goes_free)
 }
--- a/crates/alderglade-core/src/fleet/quarantine/finding.rs
+++ b/crates/alderglade-core/src/fleet/quarantine/finding.rs
@@ -1,7 +1,7 @@
-//! What hosts tell each other of requests under which servers end.
+//! Findings that hosts exchange about requests that crash servers.
 //!
-//! Each host tells what it has seen itself, or read in the store: at once, and for a while in its whole notices, because
-//! any single message may be lost.
+//! Each host reports what it has observed itself or read from the store: once immediately, and for a while in its full
+//! notices, because any single message may be lost.
 
 use super::evidence::Crash;
 use crate::fleet::fingerprint::Fingerprint;
@@ -11,41 +11,41 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A fact of a request, as told in a notice.
+/// A fact about a request, as sent in a notice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// What was asked.
+    /// The request.
     pub fingerprint: Fingerprint,
-    /// What is told of it.
+    /// The fact.
     pub fact: Fact,
 }
 
-/// What is told of a request.
+/// A fact about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fact {
-    /// A server has ended with it in its hands.
+    /// A server crashed while it had the request.
     Crash {
-        /// The server.
+        /// The incarnation of the server.
         server: Key,
         /// Whether the request is known to have begun to run there.
         begun: bool,
-        /// How long ago, in milliseconds.
+        /// Age of the fact, in milliseconds.
         age_ms: u32,
     },
-    /// It was answered to its end.
+    /// The request was answered completely.
     Sound {
-        /// How long ago, in milliseconds.
+        /// Age of the fact, in milliseconds.
         age_ms: u32,
     },
-    /// It is sent to no server any more.
+    /// The request is barred from all servers.
     Barred {
-        /// For how much longer, in seconds.
+        /// Remaining time, in seconds.
         left_s: u32,
     },
 }
 
 impl Fact {
-    /// Tells an end that has just been seen.
+    /// Creates the fact of a crash that has just been observed.
     pub(super) fn crash(crash: &Crash) -> Fact {
         Fact::Crash {
             server: crash.server,
@@ -54,61 +54,62 @@
         }
     }
 
-    /// Tells that it is barred; for how much longer is told when it is told.
+    /// Creates the fact of a bar. The remaining time is filled in when the fact is reported.
     pub(super) fn barred() -> Fact {
         Fact::Barred { left_s: 0 }
     }
 }
 
-/// A fact that this host tells the others.
+/// A finding that this host reports to the others.
 #[derive(Debug)]
-pub(super) struct Own {
+pub(super) struct OwnFinding {
     finding: Finding,
-    /// When it was so.
+    /// Time of the fact.
     at: Time,
-    /// When this host began to tell it.
-    noted: Time,
-    /// Whether nobody was told yet.
-    new: bool,
+    /// When this host recorded it.
+    recorded_at: Time,
+    /// Whether it has not been reported yet.
+    is_new: bool,
 }
 
-impl Own {
-    /// Notes a fact of now.
-    pub(super) fn new(fingerprint: Fingerprint, fact: Fact, now: Time) -> Own {
-        Own {
+impl OwnFinding {
+    /// Creates a finding for a fact of the present moment.
+    pub(super) fn new(fingerprint: Fingerprint, fact: Fact, now: Time) -> OwnFinding {
+        OwnFinding {
             finding: Finding { fingerprint, fact },
             at: now,
-            noted: now,
-            new: true,
+            recorded_at: now,
+            is_new: true,
         }
     }
 
-    /// Notes that a request was answered to its end at a time.
-    pub(super) fn sound(fingerprint: Fingerprint, at: Time, now: Time) -> Own {
-        Own {
+    /// Creates a finding for a request that was answered completely at a time.
+    pub(super) fn success(fingerprint: Fingerprint, at: Time, now: Time) -> OwnFinding {
+        OwnFinding {
             at,
-            ..Own::new(fingerprint, Fact::Sound { age_ms: 0 }, now)
+            ..OwnFinding::new(fingerprint, Fact::Sound { age_ms: 0 }, now)
         }
     }
 
-    /// Gives what was asked.
+    /// Returns the request.
     pub(super) fn fingerprint(&self) -> Fingerprint {
         self.finding.fingerprint
     }
 
-    /// Says whether nobody was told yet.
+    /// Returns whether it has not been reported yet.
     pub(super) fn is_new(&self) -> bool {
-        self.new
+        self.is_new
     }
 
-    /// Says whether it is still told.
-    pub(super) fn is_told(&self, now: Time) -> bool {
-        self.new || now.since(self.noted) < heartbeat::PLACED_REPORT_TIME
+    /// Returns whether it is still to be reported.
+    pub(super) fn is_reported(&self, now: Time) -> bool {
+        self.is_new || now.since(self.recorded_at) < heartbeat::PLACED_REPORT_TIME
     }
 
-    /// Gives the fact as it stands now, and notes that it is told. `barred` is until when the request is barred.
-    pub(super) fn tell(&mut self, barred: Option<&Time>, now: Time) -> Finding {
-        self.new = false;
+    /// Returns the finding with its age or remaining time as of `now`, and marks it as reported. `barred` is the end of the
+    /// bar of the request, if it is barred.
+    pub(super) fn report(&mut self, barred: Option<&Time>, now: Time) -> Finding {
+        self.is_new = false;
         let age = now.since(self.at);
         let fact = match self.finding.fact {
             Fact::Crash { server, begun, .. } => Fact::Crash {
--- a/crates/alderglade-core/src/fleet/quarantine/interruption.rs
+++ b/crates/alderglade-core/src/fleet/quarantine/interruption.rs
@@ -1,4 +1,4 @@
-//! What servers have broken off, until it is known whether they have ended.
+//! Interrupted requests, kept until it is known whether their servers have crashed.
 
 use crate::fleet::fingerprint::Fingerprint;
 use crate::fleet::incarnation::Key;
@@ -6,55 +6,56 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How long it may take until it is known that a server has ended: its entry goes after three heartbeats of 1.2 s, and
-/// the news may be some seconds on their way.
-const DOUBTFUL: Duration = Duration::from_millis(8_000);
-/// Breaks that are remembered, at most; more than all requests that one host has at the servers of a failure domain.
-const REMEMBERED: usize = 512;
+/// How long it may take to learn that a server has crashed. Its entry is dropped after three heartbeats of 1.2 s, and the
+/// change may take some seconds to arrive.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(8_000);
+/// Maximum number of interruptions that are remembered. This exceeds all requests that one host has at the servers of a
+/// failure domain.
+const MAX_INTERRUPTIONS: usize = 512;
 
-/// A request that a server broke off.
+/// A request that a server interrupted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Interruption {
-    /// What was asked.
+    /// The request.
     pub(super) fingerprint: Fingerprint,
-    /// The server, in one of its lifetimes.
+    /// The incarnation of the server.
     pub(super) server: Key,
     /// Whether the request is known to have begun to run there.
     pub(super) begun: bool,
-    /// When.
+    /// Time of the interruption.
     pub(super) at: Time,
 }
 
-/// The requests that servers broke off lately.
+/// Recent interruptions, oldest first.
 #[derive(Debug, Default)]
-pub(super) struct Breaks(Vec<Interruption>);
+pub(super) struct Interruptions(Vec<Interruption>);
 
-impl Breaks {
-    /// Adds one; the oldest goes where there are too many.
+impl Interruptions {
+    /// Adds an interruption, evicting the oldest one if there are too many.
     pub(super) fn add(&mut self, interruption: Interruption) {
-        if self.0.len() >= REMEMBERED {
+        if self.0.len() >= MAX_INTERRUPTIONS {
             self.0.remove(0);
         }
         self.0.push(interruption);
     }
 
-    /// Lists the servers that they were at.
+    /// Drops expired interruptions and returns the servers of the others.
     pub(super) fn servers(&mut self, now: Time) -> BTreeSet<Key> {
         self.0
-            .retain(|interruption| now.since(interruption.at) < DOUBTFUL);
+            .retain(|interruption| now.since(interruption.at) < CONFIRMATION_TIMEOUT);
         self.0
             .iter()
             .map(|interruption| interruption.server)
             .collect()
     }
 
-    /// Takes out those of a server.
+    /// Removes and returns the interruptions at a server.
     pub(super) fn take(&mut self, server: Key) -> Vec<Interruption> {
-        let own = |interruption: &mut Interruption| interruption.server == server;
-        self.0.extract_if(.., own).collect()
+        let is_at_server = |interruption: &mut Interruption| interruption.server == server;
+        self.0.extract_if(.., is_at_server).collect()
     }
 
-    /// Drops those of a request.
+    /// Drops the interruptions of a request.
     pub(super) fn clear(&mut self, fingerprint: Fingerprint) {
         self.0
             .retain(|interruption| interruption.fingerprint != fingerprint);
--- a/crates/alderglade-core/tests/testsuite/fleet/quarantine.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/quarantine.rs
@@ -1,4 +1,4 @@
-//! Who is held guilty of the ends of servers, on hosts that tell each other what they see.
+//! Which requests are found guilty of server crashes, on hosts that report their findings to each other.
 
 mod several;
 
@@ -6,16 +6,16 @@
 use crate::each_seed;
 use alderglade_core::fleet::fingerprint::{Content, Fingerprint};
 use alderglade_core::fleet::incarnation::Key;
-use alderglade_core::fleet::quarantine::{BARRED, Decision, Finding, Quarantine};
+use alderglade_core::fleet::quarantine::{BAR_DURATION, Decision, Finding, Quarantine};
 use alderglade_core::time::Time;
 use arbtest::arbitrary::{Result, Unstructured};
 use std::time::Duration;
 
-/// A request has run for so long, as far as most of these tests care.
-const SHORTLY: Option<Duration> = Some(Duration::from_millis(100));
+/// How long a request has run at a server, where the test does not depend on it.
+const BRIEF: Option<Duration> = Some(Duration::from_millis(100));
 
-/// As long as it takes until an end is judged.
-const SETTLED: Duration = Duration::from_millis(200);
+/// Age at which a crash is evaluated.
+const SETTLE_DELAY: Duration = Duration::from_millis(200);
 
 fn fingerprint(body: &str) -> Fingerprint {
     let content = Content {
@@ -32,7 +32,7 @@
     key(&format!("s{number}"))
 }
 
-/// Notes that a server has ended with a request in its hands.
+/// Records that a server has crashed while it had a request.
 fn crash(
     quarantine: &mut Quarantine,
     fingerprint: Fingerprint,
@@ -44,7 +44,7 @@
     quarantine.record_server_end(server, now);
 }
 
-/// A host that sees everything itself, and its clock.
+/// A host that observes all crashes itself, and its clock.
 #[derive(Default)]
 struct Host {
     quarantine: Quarantine,
@@ -52,27 +52,23 @@
 }
 
 impl Host {
-    /// A server ends with these requests in its hands, all of which had just begun to run.
-    fn ends(&mut self, number: usize, bodies: &[&str]) {
+    /// Crashes a server that has these requests, all of which had just begun to run.
+    fn crash(&mut self, number: usize, bodies: &[&str]) {
         for body in bodies {
-            self.quarantine.record_interruption(
-                fingerprint(body),
-                server(number),
-                SHORTLY,
-                self.now,
-            );
+            self.quarantine
+                .record_interruption(fingerprint(body), server(number), BRIEF, self.now);
         }
         self.quarantine.record_server_end(server(number), self.now);
-        self.pass(SETTLED);
+        self.advance(SETTLE_DELAY);
     }
 
-    /// Lets time pass and judges.
-    fn pass(&mut self, span: Duration) {
+    /// Advances the clock and evaluates.
+    fn advance(&mut self, span: Duration) {
         self.now = self.now + span;
         self.quarantine.evaluate(self.now);
     }
 
-    fn bars(&self, body: &str) -> bool {
+    fn is_barred(&self, body: &str) -> bool {
         self.quarantine
             .barred_for(fingerprint(body), self.now)
             .is_some()
@@ -80,14 +76,14 @@
 }
 
 #[test]
-fn three_ends_bar_a_request_and_no_other_one() {
+fn three_crashes_bar_a_request_and_no_other_one() {
     let mut host = Host::default();
-    host.ends(1, &["fatal", "a"]);
-    host.ends(2, &["fatal", "b"]);
-    assert!(!host.bars("fatal"), "two may be chance");
-    host.ends(3, &["fatal", "c"]);
-    assert!(host.bars("fatal"));
-    assert!(["a", "b", "c"].iter().all(|body| !host.bars(body)));
+    host.crash(1, &["fatal", "a"]);
+    host.crash(2, &["fatal", "b"]);
+    assert!(!host.is_barred("fatal"), "two may be chance");
+    host.crash(3, &["fatal", "c"]);
+    assert!(host.is_barred("fatal"));
+    assert!(["a", "b", "c"].iter().all(|body| !host.is_barred(body)));
     let verdicts = host.quarantine.take_verdicts();
     assert_eq!(verdicts.len(), 1);
     assert_eq!(verdicts[0].decision, Decision::Barred(3));
@@ -95,56 +91,64 @@
 }
 
 #[test]
-fn the_same_end_seen_twice_counts_once() {
+fn a_crash_reported_twice_counts_once() {
     let mut host = Host::default();
     for _ in 0..5 {
-        host.ends(1, &["fatal"]);
+        host.crash(1, &["fatal"]);
     }
-    assert!(!host.bars("fatal"));
+    assert!(!host.is_barred("fatal"));
 }
 
-/// What breaks off meets again at the server that all hosts hold best: the other one was at three ends, too.
+/// Interrupted requests meet again at the server that all hosts rank best, so the innocent one is present at three crashes,
+/// too.
 #[test]
-fn what_was_beside_it_at_three_ends_in_a_row_is_not_barred() {
+fn a_request_beside_a_fatal_one_at_three_crashes_is_not_barred() {
     let mut host = Host::default();
-    host.ends(1, &["fatal"]);
+    host.crash(1, &["fatal"]);
     for number in 2..5 {
-        host.ends(number, &["fatal", "beside"]);
+        host.crash(number, &["fatal", "beside"]);
     }
-    assert!(host.bars("fatal"));
-    assert!(!host.bars("beside"));
+    assert!(host.is_barred("fatal"));
+    assert!(!host.is_barred("beside"));
 }
 
 #[test]
-fn of_two_at_the_same_ends_neither_is_barred_until_another_end_parts_them() {
+fn of_two_with_the_same_crashes_neither_is_barred_until_another_crash_separates_them() {
     let mut host = Host::default();
     for number in 1..4 {
-        host.ends(number, &["fatal", "beside"]);
+        host.crash(number, &["fatal", "beside"]);
     }
-    assert!(!host.bars("fatal") && !host.bars("beside"));
-    host.ends(4, &["fatal"]);
-    assert!(host.bars("fatal"));
-    assert!(!host.bars("beside"), "the other one explains all its ends");
+    assert!(!host.is_barred("fatal") && !host.is_barred("beside"));
+    host.crash(4, &["fatal"]);
+    assert!(host.is_barred("fatal"));
+    assert!(!host.is_barred("beside"), "the other one explains all");
 }
 
 #[test]
-fn two_that_nothing_parts_are_both_barred_at_the_fifth_end() {
+fn of_two_inseparable_requests_one_is_barred_at_the_fifth_crash() {
     let mut host = Host::default();
     for number in 1..5 {
-        host.ends(number, &["one", "other"]);
-        assert!(!host.bars("one") && !host.bars("other"));
+        host.crash(number, &["one", "other"]);
+        assert!(!host.is_barred("one") && !host.is_barred("other"));
     }
-    host.ends(5, &["one", "other"]);
-    assert!(host.bars("one") != host.bars("other"), "one explains all");
-    host.ends(6, &["other"]);
-    host.ends(7, &["other"]);
-    assert!(host.bars("other"), "what came after shows who it was");
-    assert!(!host.bars("one"));
+    host.crash(5, &["one", "other"]);
+    assert!(
+        host.is_barred("one") != host.is_barred("other"),
+        "one explains all"
+    );
+    host.crash(6, &["other"]);
+    host.crash(7, &["other"]);
+    assert!(
+        host.is_barred("other"),
+        "later crashes show which one is guilty"
+    );
+    assert!(!host.is_barred("one"));
 }
 
-/// The hosts that had something at a server notice its end one after the other: whoever is told of first is not the one.
+/// Hosts with requests at a server notice its crash one after the other. The request that is reported first is not
+/// necessarily the cause.
 #[test]
-fn what_was_beside_it_waits_until_all_is_told() {
+fn crashes_are_evaluated_after_all_hosts_have_reported() {
     let mut host = Host::default();
     let mut now = Time::from_millis(1_000);
     for number in 1..4 {
@@ -152,7 +156,7 @@
             &mut host.quarantine,
             fingerprint("beside"),
             server(number),
-            SHORTLY,
+            BRIEF,
             now,
         );
         host.quarantine.evaluate(now);
@@ -161,7 +165,7 @@
             &mut host.quarantine,
             fingerprint("fatal"),
             server(number),
-            SHORTLY,
+            BRIEF,
             now,
         );
         host.quarantine.evaluate(now);
@@ -176,43 +180,43 @@
 }
 
 #[test]
-fn what_is_about_to_be_judged_waits_no_longer_than_that() {
+fn requests_wait_only_while_an_evaluation_is_pending() {
     let mut host = Host::default();
-    host.ends(1, &["fatal", "beside"]);
-    host.ends(2, &["fatal", "beside"]);
-    let end = host.now;
+    host.crash(1, &["fatal", "beside"]);
+    host.crash(2, &["fatal", "beside"]);
+    let crash_time = host.now;
     for body in ["fatal", "beside"] {
-        assert!(!host.quarantine.is_pending(fingerprint(body), end));
+        assert!(!host.quarantine.is_pending(fingerprint(body), crash_time));
         crash(
             &mut host.quarantine,
             fingerprint(body),
             server(3),
-            SHORTLY,
-            end,
+            BRIEF,
+            crash_time,
         );
-        assert!(host.quarantine.is_pending(fingerprint(body), end));
+        assert!(host.quarantine.is_pending(fingerprint(body), crash_time));
     }
-    host.pass(SETTLED);
-    let judges = |body: &str| host.quarantine.is_pending(fingerprint(body), host.now);
-    assert!(!judges("fatal") && !judges("beside"));
+    host.advance(SETTLE_DELAY);
+    let is_pending = |body: &str| host.quarantine.is_pending(fingerprint(body), host.now);
+    assert!(!is_pending("fatal") && !is_pending("beside"));
 }
 
 #[test]
-fn one_that_had_not_begun_goes_after_one_that_had() {
+fn a_request_that_had_begun_is_blamed_before_one_that_had_not() {
     let mut host = Host::default();
     for number in 1..4 {
         let now = host.now;
         let waiting = fingerprint("waiting");
         crash(&mut host.quarantine, waiting, server(number), None, now);
-        host.ends(number, &["fatal"]);
+        host.crash(number, &["fatal"]);
     }
-    assert!(host.bars("fatal"));
-    assert!(!host.bars("waiting"));
+    assert!(host.is_barred("fatal"));
+    assert!(!host.is_barred("waiting"));
 }
 
-/// Servers that end for other reasons take long answers with them; these have been running well.
+/// Servers that crash for other reasons interrupt long answers, which had been running well until then.
 #[test]
-fn a_long_answer_is_not_suspected_of_ends_in_its_middle() {
+fn a_long_answer_is_not_suspected_of_crashes_in_its_middle() {
     let mut host = Host::default();
     for number in 0..20 {
         let ran = Some(Duration::from_millis(2_100));
@@ -224,141 +228,141 @@
             ran,
             now,
         );
-        host.ends(number, &[]);
+        host.crash(number, &[]);
     }
-    assert!(!host.bars("long"));
+    assert!(!host.is_barred("long"));
 }
 
 #[test]
-fn an_answer_that_comes_to_its_end_clears_its_request() {
+fn a_completed_answer_clears_its_request() {
     let mut host = Host::default();
-    host.ends(1, &["sound"]);
-    host.ends(2, &["sound"]);
+    host.crash(1, &["sound"]);
+    host.crash(2, &["sound"]);
     host.quarantine
         .record_success(fingerprint("sound"), host.now);
-    host.pass(Duration::from_millis(1));
-    host.ends(3, &["sound"]);
-    host.ends(4, &["sound"]);
-    assert!(!host.bars("sound"), "two since it was answered");
-    host.pass(Duration::from_secs(10));
-    host.ends(5, &["sound"]);
-    assert!(host.bars("sound"));
-    // One that was on its way is answered all the same.
+    host.advance(Duration::from_millis(1));
+    host.crash(3, &["sound"]);
+    host.crash(4, &["sound"]);
+    assert!(!host.is_barred("sound"), "two since it was answered");
+    host.advance(Duration::from_secs(10));
+    host.crash(5, &["sound"]);
+    assert!(host.is_barred("sound"));
+    // An attempt that was already running is answered after the bar.
     host.quarantine
         .record_success(fingerprint("sound"), host.now);
-    assert!(!host.bars("sound"));
+    assert!(!host.is_barred("sound"));
 }
 
-/// Connections break for other reasons; a server that goes on to answer has not ended.
+/// Connections break for other reasons, too. A server that responds afterwards has not crashed.
 #[test]
-fn what_was_broken_off_counts_only_where_its_server_has_ended() {
+fn an_interruption_counts_only_if_its_server_has_crashed() {
     let mut host = Host::default();
     for number in 1..9 {
         let now = host.now;
         let (fingerprint, server) = (fingerprint("fatal"), server(number));
         host.quarantine
-            .record_interruption(fingerprint, server, SHORTLY, now);
+            .record_interruption(fingerprint, server, BRIEF, now);
         if number % 2 == 0 {
             host.quarantine.record_alive(server);
             host.quarantine.record_server_end(server, now);
         }
-        host.pass(SETTLED);
+        host.advance(SETTLE_DELAY);
     }
-    assert!(!host.bars("fatal"));
+    assert!(!host.is_barred("fatal"));
     assert_eq!(host.quarantine.unconfirmed_servers(host.now).len(), 4);
     for number in [1, 3, 5] {
         host.quarantine.record_server_end(server(number), host.now);
     }
-    host.pass(SETTLED);
-    assert!(host.bars("fatal"), "known late, when their entries went");
+    host.advance(SETTLE_DELAY);
+    assert!(host.is_barred("fatal"), "confirmed when entries lapse");
 }
 
 #[test]
-fn what_an_end_far_later_has_to_do_with_a_break_is_not_supposed() {
+fn an_interruption_long_before_a_crash_does_not_count() {
     let mut host = Host::default();
     for number in 1..4 {
         let now = host.now;
         host.quarantine
-            .record_interruption(fingerprint("long ago"), server(number), SHORTLY, now);
+            .record_interruption(fingerprint("long ago"), server(number), BRIEF, now);
     }
-    host.pass(Duration::from_secs(10));
+    host.advance(Duration::from_secs(10));
     assert!(host.quarantine.unconfirmed_servers(host.now).is_empty());
-    (1..4).for_each(|number| host.ends(number, &[]));
-    assert!(!host.bars("long ago"));
+    (1..4).for_each(|number| host.crash(number, &[]));
+    assert!(!host.is_barred("long ago"));
 }
 
-/// Seen: a quarter of ninety servers ended within two seconds, and one request was sent to three of them in a row.
+/// A quarter of ninety servers crashed within two seconds, and one request was sent to three of them in a row.
 #[test]
-fn where_many_servers_end_three_ends_may_be_chance() {
+fn while_many_servers_crash_three_crashes_may_be_chance() {
     let mut host = Host::default();
     for number in 0..4 {
-        host.ends(3 * number, &["unlucky"]);
-        assert!(!host.bars("unlucky"), "as many end without it");
-        host.ends(3 * number + 1, &[&format!("one {number}")]);
-        host.ends(3 * number + 2, &[&format!("other {number}")]);
+        host.crash(3 * number, &["unlucky"]);
+        assert!(!host.is_barred("unlucky"), "as many crash without it");
+        host.crash(3 * number + 1, &[&format!("one {number}")]);
+        host.crash(3 * number + 2, &[&format!("other {number}")]);
     }
-    host.ends(20, &["unlucky"]);
-    assert!(host.bars("unlucky"), "five are no chance");
+    host.crash(20, &["unlucky"]);
+    assert!(host.is_barred("unlucky"), "five are not chance");
 }
 
-/// Seen: ten of ninety servers ended within a second, the last three of them with the same request.
+/// Ten of ninety servers crashed within a second, the last three of them with the same request.
 #[test]
-fn who_is_at_the_last_of_many_ends_may_be_there_by_chance() {
+fn a_request_at_the_last_of_many_crashes_may_be_there_by_chance() {
     let mut host = Host::default();
-    (0..5).for_each(|number| host.ends(number, &[&format!("other {number}")]));
-    (5..8).for_each(|number| host.ends(number, &["unlucky"]));
-    assert!(!host.bars("unlucky"));
-    // The others come back and are answered; that their servers ended stays true.
+    (0..5).for_each(|number| host.crash(number, &[&format!("other {number}")]));
+    (5..8).for_each(|number| host.crash(number, &["unlucky"]));
+    assert!(!host.is_barred("unlucky"));
+    // The other requests are retried and answered. The crashes of their servers still count.
     for number in 0..5 {
         let other = fingerprint(&format!("other {number}"));
         host.quarantine.record_success(other, host.now);
     }
-    host.ends(9, &["another"]);
-    assert!(!host.bars("unlucky"));
+    host.crash(9, &["another"]);
+    assert!(!host.is_barred("unlucky"));
 }
 
-/// Ends of long ago say nothing of those now.
+/// Crashes of long ago have nothing to do with recent ones.
 #[test]
-fn ends_before_and_after_do_not_make_it_one_of_many() {
+fn crashes_at_other_times_do_not_excuse_a_request() {
     let mut host = Host::default();
-    (0..8).for_each(|number| host.ends(number, &["other"]));
+    (0..8).for_each(|number| host.crash(number, &["other"]));
     host.quarantine
         .record_success(fingerprint("other"), host.now);
-    (10..14).for_each(|number| host.ends(number, &[&format!("other {number}")]));
-    host.pass(Duration::from_secs(3));
-    (20..23).for_each(|number| host.ends(number, &["fatal"]));
-    assert!(host.bars("fatal"));
+    (10..14).for_each(|number| host.crash(number, &[&format!("other {number}")]));
+    host.advance(Duration::from_secs(3));
+    (20..23).for_each(|number| host.crash(number, &["fatal"]));
+    assert!(host.is_barred("fatal"));
 }
 
-/// Seen: three fatal requests at a time, and one that all other callers asked for, which was at each end.
+/// Three fatal requests occurred at a time, and one request that all other callers sent was present at each crash.
 #[test]
-fn what_is_asked_often_is_not_barred_while_it_is_answered() {
+fn a_frequent_request_is_not_barred_while_it_is_answered() {
     let mut host = Host::default();
-    host.pass(SETTLED);
+    host.advance(SETTLE_DELAY);
     host.quarantine
         .record_success(fingerprint("often"), host.now);
-    host.pass(SETTLED);
+    host.advance(SETTLE_DELAY);
     let fatal = ["one", "other", "third"];
     for number in 0..18 {
-        host.ends(number, &[fatal[number % 3], "often"]);
-        assert!(!host.bars("often"), "{number} ends");
+        host.crash(number, &[fatal[number % 3], "often"]);
+        assert!(!host.is_barred("often"), "{number} crashes");
     }
-    assert!(fatal.iter().all(|body| host.bars(body)));
+    assert!(fatal.iter().all(|body| host.is_barred(body)));
 }
 
-/// Messages of two hosts overtake each other.
+/// Messages of two hosts arrive in reverse order.
 #[test]
-fn an_answer_that_is_heard_of_before_the_end_clears_the_request_all_the_same() {
+fn a_success_received_before_the_crash_it_clears_still_counts() {
     let now = Time::from_millis(1_000);
     let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
-    crash(&mut there, fingerprint("often"), server(0), SHORTLY, now);
-    let end = there.findings_to_report(false, now);
-    let later = now + SETTLED;
+    crash(&mut there, fingerprint("often"), server(0), BRIEF, now);
+    let crash_findings = there.findings_to_report(false, now);
+    let later = now + SETTLE_DELAY;
     there.record_success(fingerprint("often"), later);
-    let answer = there.findings_to_report(false, later);
-    let heard = later + SETTLED;
-    for told in answer.iter().chain(&end) {
-        here.apply_finding(told, heard);
+    let success_findings = there.findings_to_report(false, later);
+    let received_at = later + SETTLE_DELAY;
+    for finding in success_findings.iter().chain(&crash_findings) {
+        here.apply_finding(finding, received_at);
     }
     assert!(!here.is_suspect(fingerprint("often")));
     for number in 1..4 {
@@ -366,59 +370,62 @@
             &mut here,
             fingerprint("often"),
             server(number),
-            SHORTLY,
-            heard,
+            BRIEF,
+            received_at,
         );
     }
-    here.evaluate(heard + SETTLED);
+    here.evaluate(received_at + SETTLE_DELAY);
     assert!(
-        here.barred_for(fingerprint("often"), heard + SETTLED)
+        here.barred_for(fingerprint("often"), received_at + SETTLE_DELAY)
             .is_none()
     );
 }
 
-/// Another host has answered it, and says so when it hears that it is suspected.
+/// Another host has answered the request, and reports that when it learns that the request is suspected.
 #[test]
-fn who_has_answered_a_request_speaks_for_it() {
+fn a_host_that_has_answered_a_request_reports_it() {
     let (mut here, mut there) = (Host::default(), Quarantine::default());
     there.record_success(fingerprint("often"), here.now);
-    here.pass(SETTLED);
+    here.advance(SETTLE_DELAY);
     for number in 0..6 {
-        here.ends(number, &["often"]);
-        let told = here.quarantine.findings_to_report(false, here.now);
-        told.iter()
-            .for_each(|told| there.apply_finding(told, here.now));
-        let told = there.findings_to_report(false, here.now);
-        told.iter()
-            .for_each(|told| here.quarantine.apply_finding(told, here.now));
-        here.pass(SETTLED);
+        here.crash(number, &["often"]);
+        let sent = here.quarantine.findings_to_report(false, here.now);
+        sent.iter()
+            .for_each(|finding| there.apply_finding(finding, here.now));
+        let sent = there.findings_to_report(false, here.now);
+        sent.iter()
+            .for_each(|finding| here.quarantine.apply_finding(finding, here.now));
+        here.advance(SETTLE_DELAY);
     }
-    assert!(!here.bars("often"));
+    assert!(!here.is_barred("often"));
 }
 
 #[test]
-fn two_fatal_requests_are_told_apart() {
+fn two_fatal_requests_are_distinguished() {
     let mut host = Host::default();
-    host.ends(0, &["one", "beside"]);
-    host.ends(1, &["other", "beside"]);
-    host.ends(2, &["one"]);
-    host.ends(3, &["other"]);
-    host.ends(4, &["one", "beside"]);
-    assert!(!host.bars("one") && !host.bars("beside"), "at as many ends");
-    host.ends(5, &["other"]);
-    host.ends(6, &["one"]);
-    assert!(host.bars("one") && host.bars("other"));
-    assert!(!host.bars("beside"));
+    host.crash(0, &["one", "beside"]);
+    host.crash(1, &["other", "beside"]);
+    host.crash(2, &["one"]);
+    host.crash(3, &["other"]);
+    host.crash(4, &["one", "beside"]);
+    assert!(
+        !host.is_barred("one") && !host.is_barred("beside"),
+        "equal crashes"
+    );
+    host.crash(5, &["other"]);
+    host.crash(6, &["one"]);
+    assert!(host.is_barred("one") && host.is_barred("other"));
+    assert!(!host.is_barred("beside"));
 }
 
 #[test]
-fn a_request_is_barred_for_an_hour_and_then_known_to_be_tried_again() {
+fn a_bar_expires_after_an_hour_and_the_release_is_reported() {
     let mut host = Host::default();
-    (1..4).for_each(|number| host.ends(number, &["fatal"]));
-    assert!(host.bars("fatal"));
+    (1..4).for_each(|number| host.crash(number, &["fatal"]));
+    assert!(host.is_barred("fatal"));
     host.quarantine.take_verdicts();
-    host.now = host.now + BARRED;
-    assert!(!host.bars("fatal"));
+    host.now = host.now + BAR_DURATION;
+    assert!(!host.is_barred("fatal"));
     host.quarantine.expire(host.now);
     let verdicts = host.quarantine.take_verdicts();
     assert_eq!(verdicts[0].decision, Decision::Released);
@@ -426,63 +433,63 @@
 }
 
 #[test]
-fn what_is_kept_is_bounded() {
+fn memory_is_bounded() {
     let mut host = Host::default();
-    host.ends(1, &["fatal"]);
-    host.ends(2, &["fatal"]);
+    host.crash(1, &["fatal"]);
+    host.crash(2, &["fatal"]);
     for number in 0..10_000 {
-        host.ends(3 + number, &[&format!("body {number}")]);
+        host.crash(3 + number, &[&format!("body {number}")]);
     }
-    (20_000..20_003).for_each(|number| host.ends(number, &["fatal"]));
+    (20_000..20_003).for_each(|number| host.crash(number, &["fatal"]));
     assert!(
-        host.bars("fatal"),
-        "the first two are not forgotten: more is known of it"
+        host.is_barred("fatal"),
+        "requests with fewer crashes are evicted first"
     );
     assert!(host.quarantine.findings_to_report(true, host.now).len() <= 24);
 }
 
-/// Has each host tell each other one what it has to tell; some of it is lost, comes twice or in another order.
+/// Sends the findings of each host to each other one. Some messages are lost, duplicated or reordered.
 fn exchange(u: &mut Unstructured<'_>, hosts: &mut [Quarantine], now: Time) -> Result<()> {
-    for teller in 0..hosts.len() {
-        let mut told = hosts[teller].findings_to_report(u.arbitrary()?, now);
+    for sender in 0..hosts.len() {
+        let mut sent = hosts[sender].findings_to_report(u.arbitrary()?, now);
         if u.arbitrary()? {
-            told.reverse();
+            sent.reverse();
         }
-        let doubled: Vec<Finding> = told.iter().chain(&told).copied().collect();
-        for hearer in (0..hosts.len()).filter(|hearer| *hearer != teller) {
+        let duplicated: Vec<Finding> = sent.iter().chain(&sent).copied().collect();
+        for receiver in (0..hosts.len()).filter(|receiver| *receiver != sender) {
             if u.int_in_range(0..=3)? > 0 {
-                doubled
+                duplicated
                     .iter()
-                    .for_each(|told| hosts[hearer].apply_finding(told, now));
+                    .for_each(|finding| hosts[receiver].apply_finding(finding, now));
             }
         }
     }
     Ok(())
 }
 
-/// However messages are lost, doubled and reordered: after each host has told all that it has to tell once more, all bar
-/// the fatal request, and none bars another one.
+/// Messages are lost, duplicated and reordered. After each host has sent all its findings once more, all hosts bar the
+/// fatal request, and none bars another one.
 #[test]
 fn hosts_come_to_the_same_verdict() {
     each_seed(300, |u| {
         let mut hosts: Vec<Quarantine> = (0..4).map(|_| Quarantine::default()).collect();
         let mut now = Time::from_millis(1_000);
-        for end in 0..4 {
+        for crash_index in 0..4 {
             let host = u.int_in_range(0..=3)?;
             crash(
                 &mut hosts[host],
                 fingerprint("fatal"),
-                server(end),
-                SHORTLY,
+                server(crash_index),
+                BRIEF,
                 now,
             );
-            if end > 0 {
+            if crash_index > 0 {
                 let host = u.int_in_range(0..=3)?;
                 crash(
                     &mut hosts[host],
                     fingerprint("beside"),
-                    server(end),
-                    SHORTLY,
+                    server(crash_index),
+                    BRIEF,
                     now,
                 );
             }
@@ -490,14 +497,14 @@
             hosts.iter_mut().for_each(|host| host.evaluate(now));
             now = now + Duration::from_millis(u.int_in_range(0..=500)?);
         }
-        now = now + SETTLED;
-        let told: Vec<Vec<Finding>> = hosts
+        now = now + SETTLE_DELAY;
+        let sent: Vec<Vec<Finding>> = hosts
             .iter_mut()
             .map(|host| host.findings_to_report(true, now))
             .collect();
         for host in &mut hosts {
-            let told = told.iter().flatten();
-            told.for_each(|told| host.apply_finding(told, now));
+            let sent = sent.iter().flatten();
+            sent.for_each(|finding| host.apply_finding(finding, now));
             host.evaluate(now);
         }
         for host in &hosts {
@@ -508,27 +515,29 @@
     });
 }
 
-/// A host that has just read the store tells those that don't watch it.
+/// A host that watches the store reports what it reads there to hosts that don't.
 #[test]
-fn what_the_store_says_is_passed_on_and_taken_back() {
+fn bars_and_releases_from_the_store_reach_other_hosts() {
     let now = Time::from_millis(500);
     let (mut watcher, mut other) = (Quarantine::default(), Quarantine::default());
-    watcher.apply_stored_bar(fingerprint("fatal"), BARRED, now);
-    let told = watcher.findings_to_report(false, now);
-    told.iter().for_each(|told| other.apply_finding(told, now));
+    watcher.apply_stored_bar(fingerprint("fatal"), BAR_DURATION, now);
+    let sent = watcher.findings_to_report(false, now);
+    sent.iter()
+        .for_each(|finding| other.apply_finding(finding, now));
     assert!(other.barred_for(fingerprint("fatal"), now).is_some());
     assert!(
         watcher.findings_to_report(false, now).is_empty(),
-        "told once"
+        "reported once"
     );
     assert_eq!(
         watcher.findings_to_report(true, now),
-        told,
-        "and in whole notices"
+        sent,
+        "and again in full notices"
     );
     watcher.apply_stored_release(fingerprint("fatal"), now);
-    let told = watcher.findings_to_report(false, now);
-    told.iter().for_each(|told| other.apply_finding(told, now));
+    let sent = watcher.findings_to_report(false, now);
+    sent.iter()
+        .for_each(|finding| other.apply_finding(finding, now));
     assert!(other.barred_for(fingerprint("fatal"), now).is_none());
     let verdicts = other.take_verdicts();
     assert!(verdicts.iter().all(|verdict| !verdict.first_hand));
--- a/crates/alderglade-core/tests/testsuite/fleet/restored.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/restored.rs
@@ -10,7 +10,7 @@
 use alderglade_core::fleet::incarnation::Incarnation;
 use alderglade_core::fleet::load_table::LoadTable;
 use alderglade_core::fleet::position::Position;
-use alderglade_core::fleet::quarantine::{BARRED, Decision, Quarantine};
+use alderglade_core::fleet::quarantine::{BAR_DURATION, Decision, Quarantine};
 use alderglade_core::time::Time;
 use arbtest::arbitrary::{Result, Unstructured};
 use std::collections::{BTreeMap, BTreeSet};
@@ -178,11 +178,11 @@
     let mut quarantine = Quarantine::default();
     let [held, released, new] = ["held", "released", "new"].map(fingerprint);
     let now = Time::from_millis(1_000);
-    quarantine.apply_stored_bar(held, BARRED, now);
-    quarantine.apply_stored_bar(released, BARRED, now);
+    quarantine.apply_stored_bar(held, BAR_DURATION, now);
+    quarantine.apply_stored_bar(released, BAR_DURATION, now);
     quarantine.apply_stored_release(released, now);
     quarantine.take_verdicts();
-    quarantine.restore(&[(released, BARRED), (new, BARRED)], now);
+    quarantine.restore(&[(released, BAR_DURATION), (new, BAR_DURATION)], now);
     let verdicts = quarantine.take_verdicts();
     let verdict_on = |fingerprint| {
         verdicts
