--- a/crates/alderglade-core/src/fleet/directory.rs
+++ b/crates/alderglade-core/src/fleet/directory.rs
@@ -37,8 +37,9 @@
 /// about two seconds.
 pub const STORE_RETURN_GRACE: Duration = Duration::from_millis(2_000);
 
-/// How long a departed server that a restored copy of the store lists again is held back. The platform drops the entry of
-/// a silent server after three heartbeats of 1.2 s, so a server whose entry remains after five of them is writing it.
+/// How long a departed server that a restored copy of the store lists again is held back. The platform drops the entry
+/// of a silent server after three heartbeats of 1.2 s, so a server whose entry remains after five of them is writing
+/// it.
 pub const STALE_ENTRY_HOLD: Duration = Duration::from_millis(6_000);
 
 /// A known server and the state of its store entry.
@@ -90,7 +91,8 @@
     listed: bool,
     /// Until when entries may be missing from the store although their servers are alive.
     grace_until: Option<Time>,
-    /// `grace_until` as it was when contact to the store was lost. Restored if the outage was too short for entries to lapse.
+    /// `grace_until` as it was when contact to the store was lost. Restored if the outage was too short for entries to
+    /// lapse.
     grace_before_outage: Option<Time>,
     /// Sum of the entries' digests, updated with each change because every notice carries it.
     digest: u64,
@@ -117,7 +119,8 @@
         self.grace_until = Some(Time::NEVER);
     }
 
-    /// Records that the store responds again. `lapsed` is whether the outage was long enough for entries to have lapsed.
+    /// Records that the store responds again. `lapsed` is whether the outage was long enough for entries to have
+    /// lapsed.
     pub fn store_returned(&mut self, now: Time, lapsed: bool) {
         if !lapsed {
             self.grace_until = self.grace_before_outage.take();
@@ -174,8 +177,8 @@
         }
     }
 
-    /// Applies a birth time that the server itself reported. A restarted server that was in use stays in use: it responds
-    /// at the same address, and the store may be unavailable.
+    /// Applies a birth time that the server itself reported. A restarted server that was in use stays in use: it
+    /// responds at the same address, and the store may be unavailable.
     pub fn observe_birth(&mut self, id: &str, born: u64) {
         let Some(entry) = self.entries.get(id) else {
             return;
@@ -244,8 +247,8 @@
         }
     }
 
-    /// Marks an incarnation of a server as leaving, as reported by the server itself or by a peer. Returns whether this was
-    /// unknown. The mark persists when the entry lapses and is written again.
+    /// Marks an incarnation of a server as leaving, as reported by the server itself or by a peer. Returns whether this
+    /// was unknown. The mark persists when the entry lapses and is written again.
     pub fn mark_leaving(&mut self, key: Key, now: Time) -> bool {
         self.leavers.record(key, now);
         let Some(entry) = self.entry_mut(key) else {
--- a/crates/alderglade-core/src/fleet/directory/departed.rs
+++ b/crates/alderglade-core/src/fleet/directory/departed.rs
@@ -6,8 +6,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long a departed server is remembered. Copies are some seconds old, and the store may be unavailable for some more
-/// seconds before it is restored from one.
+/// How long a departed server is remembered. Copies are some seconds old, and the store may be unavailable for some
+/// more seconds before it is restored from one.
 const RETENTION: Duration = Duration::from_secs(60);
 
 /// The end of an incarnation.
--- a/crates/alderglade-core/src/fleet/directory/store_sync.rs
+++ b/crates/alderglade-core/src/fleet/directory/store_sync.rs
@@ -44,7 +44,8 @@
         true
     }
 
-    /// Returns whether the changes between two positions come next: they are not known yet and continue the known history.
+    /// Returns whether the changes between two positions come next: they are not known yet and continue the known
+    /// history.
     pub fn needs_changes(&self, after: Position, position: Position) -> bool {
         let is_same_history = after.era == position.era && after.joins(self.position);
         is_same_history && position > self.position
@@ -68,8 +69,8 @@
         true
     }
 
-    /// Advances to the position of another host if its servers have the same digest. A position of another era is ignored,
-    /// because only a list shows which servers are missing then.
+    /// Advances to the position of another host if its servers have the same digest. A position of another era is
+    /// ignored, because only a list shows which servers are missing then.
     pub fn confirm(&mut self, digest: u64, position: Position) {
         if digest == self.digest && position.era == self.position.era {
             self.position = self.position.max(position);
@@ -81,8 +82,8 @@
         self.restored.take()
     }
 
-    /// Applies the first full list of a new era, which comes from a copy of the store. Entries written since the copy may
-    /// soon be written again, and servers that have gone since may be listed again.
+    /// Applies the first full list of a new era, which comes from a copy of the store. Entries written since the copy
+    /// may soon be written again, and servers that have gone since may be listed again.
     fn restore(&mut self, listing: Listing, position: Position, now: Time) {
         self.extend_grace(now + STORE_RETURN_GRACE);
         let has_departed = |server: &&Server| {
--- a/crates/alderglade-core/src/fleet/fanout.rs
+++ b/crates/alderglade-core/src/fleet/fanout.rs
@@ -1,10 +1,11 @@
 //! Delivery of a host's notices to other hosts.
 //!
-//! Hosts of the own group in another failure domain are reached through one of them, which forwards notices to the others.
-//! Sent individually, each change would cross to another failure domain once per host there, and bandwidth between domains
-//! is scarce and expensive. One copy for each domain is enough: 4 instead of 236 with 295 hosts in five domains. The
-//! forwarding host changes with each heartbeat, so a dead, frozen or disconnected one hides a host from its domain for one
-//! heartbeat at most. The first forwarder is derived from the sender's name, which spreads the work over all hosts.
+//! Hosts of the own group in another failure domain are reached through one of them, which forwards notices to the
+//! others. Sent individually, each change would cross to another failure domain once per host there, and bandwidth
+//! between domains is scarce and expensive. One copy for each domain is enough: 4 instead of 236 with 295 hosts in five
+//! domains. The forwarding host changes with each heartbeat, so a dead, frozen or disconnected one hides a host from
+//! its domain for one heartbeat at most. The first forwarder is derived from the sender's name, which spreads the work
+//! over all hosts.
 //!
 //! Hosts of the own domain, and hosts that have not been heard from yet, receive notices directly.
 //!
@@ -30,8 +31,8 @@
     pub covered: BTreeSet<Name>,
 }
 
-/// Returns the fanout of host `own` at heartbeat number `beat` to the hosts of other failure domains in `live_hosts`, the
-/// hosts that it receives notices from.
+/// Returns the fanout of host `own` at heartbeat number `beat` to the hosts of other failure domains in `live_hosts`,
+/// the hosts that it receives notices from.
 pub fn fanout<'a>(own: &str, beat: u64, live_hosts: impl Iterator<Item = Neighbour<'a>>) -> Fanout {
     let mut domains: BTreeMap<&Name, Vec<&Name>> = BTreeMap::new();
     for host in live_hosts.filter(|host| !host.same_domain) {
@@ -78,8 +79,8 @@
         self.all || self.groups.contains(&group) || (self.domain && domain == sender.domain)
     }
 
-    /// Returns one host of each partition that the notice concerns, at heartbeat number `beat`. `hosts` are all hosts with
-    /// their failure domains.
+    /// Returns one host of each partition that the notice concerns, at heartbeat number `beat`. `hosts` are all hosts
+    /// with their failure domains.
     pub fn gateways<'a>(
         &self,
         sender: &Sender<'_>,
@@ -104,7 +105,8 @@
     }
 }
 
-/// Returns the host that forwards the sender's notices at heartbeat number `beat`; the role rotates through the hosts by name.
+/// Returns the host that forwards the sender's notices at heartbeat number `beat`; the role rotates through the hosts
+/// by name.
 fn forwarder<'a>(sender: &str, beat: u64, mut hosts: Vec<&'a Name>) -> Option<&'a Name> {
     hosts.sort();
     let first = xxh3_64(sender.as_bytes());
--- a/crates/alderglade-core/src/fleet/faults.rs
+++ b/crates/alderglade-core/src/fleet/faults.rs
@@ -1,81 +1,81 @@
-//! Entries of the store that can't be read, so that operators are told of each once.
+//! Store entries that can't be parsed. Each one is reported to operators once.
 //!
-//! Anybody may write to the store. An entry that can't be read says nothing, and the others hold.
+//! Anyone may write to the store. An unreadable entry is ignored and doesn't affect the others.
 
 use crate::Name;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Entries that are remembered; with more of them, the others are only counted, each time that they come.
-const MOST: usize = 1_024;
-/// Entries that are told of one by one at a time; the others are counted.
-const MOST_TOLD: usize = 8;
+/// Maximum number of unreadable entries that are remembered. Further ones are only counted, each time they occur.
+const MAX_REMEMBERED: usize = 1_024;
+/// Maximum number of entries that are reported individually at a time. Further ones are counted.
+const MAX_REPORTED: usize = 8;
 
-/// An entry that can't be read.
+/// A store entry that can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
     /// The entry's name.
     pub name: Name,
-    /// What is wrong with it.
+    /// Description of the problem.
     pub problem: Name,
 }
 
-/// What is new of entries that can't be read.
+/// Changes to the set of unreadable entries.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct News {
-    /// Those that have come or changed.
+    /// Entries that are newly unreadable or have another problem than before.
     pub faults: Vec<Fault>,
-    /// How many more have, beyond those.
+    /// Number of further such entries.
     pub more: u64,
-    /// Those that can be read again, or are gone.
+    /// Entries that are readable again or have been removed.
     pub resolved: Vec<Name>,
 }
 
-/// The entries that can't be read, and what is new of them since operators were told.
+/// The unreadable entries, and the changes since they were last reported.
 #[derive(Debug, Default)]
 pub struct Faults {
-    /// What is wrong, by the entries' names.
+    /// Problems by entry name.
     known: BTreeMap<Name, Name>,
     news: News,
 }
 
 impl Faults {
-    /// Notes an entry that can't be read.
+    /// Records an unreadable entry.
     pub fn note(&mut self, fault: &Fault) {
         let known = self.known.get(&fault.name);
         if known == Some(&fault.problem) {
             return;
         }
-        if known.is_some() || self.known.len() < MOST {
+        if known.is_some() || self.known.len() < MAX_REMEMBERED {
             let Fault { name, problem } = fault.clone();
             self.known.insert(name, problem);
         }
-        if self.news.faults.len() < MOST_TOLD {
+        if self.news.faults.len() < MAX_REPORTED {
             self.news.faults.push(fault.clone());
         } else {
             self.news.more += 1;
         }
     }
 
-    /// Notes that an entry can be read, or is gone.
+    /// Records that an entry is readable or has been removed.
     pub fn clear(&mut self, name: &str) {
         let Some((name, _)) = self.known.remove_entry(name) else {
             return;
         };
-        if self.news.resolved.len() < MOST_TOLD {
+        if self.news.resolved.len() < MAX_REPORTED {
             self.news.resolved.push(name);
         }
     }
 
-    /// Notes that no other entries than these can't be read.
+    /// Records that all entries except the given ones are readable or have been removed.
     pub fn retain(&mut self, all: &[Fault]) {
-        let all: BTreeSet<&Name> = all.iter().map(|fault| &fault.name).collect();
-        let gone = self.known.keys().filter(|name| !all.contains(name));
-        let gone: Vec<Name> = gone.cloned().collect();
-        gone.iter().for_each(|name| self.clear(name));
+        let unreadable: BTreeSet<&Name> = all.iter().map(|fault| &fault.name).collect();
+        let resolved = self.known.keys().filter(|name| !unreadable.contains(name));
+        let resolved: Vec<Name> = resolved.cloned().collect();
+        resolved.iter().for_each(|name| self.clear(name));
     }
 
-    /// Gives what is new since the last call.
+    /// Returns the changes since the last call.
     pub fn take_news(&mut self) -> News {
         std::mem::take(&mut self.news)
     }
--- a/crates/alderglade-core/src/fleet/fingerprint.rs
+++ b/crates/alderglade-core/src/fleet/fingerprint.rs
@@ -1,45 +1,45 @@
-//! What was asked, whoever sends it on and however often: the same path, caller and body.
+//! Fingerprints that identify a request across retries: equal for the same path, caller and body.
 //!
-//! A caller that comes back does so under another id, at any host. What was learnt of the request itself, and not of one
-//! attempt, is kept by this.
+//! A caller retries under another request id, possibly at another host. Facts about the request itself, as opposed to
+//! one attempt, are stored by its fingerprint.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
-/// The digest of what was asked: twelve bytes in place of a path and a body of thousands.
+/// A digest of a request: twelve bytes instead of a path and a body of thousands of bytes.
 ///
-/// The first four bytes are the caller's, which it can't choose: no caller can make up a body by which another one's
-/// request is taken for its own.
+/// The first four bytes are derived from the caller's workspace, which the caller can't choose. No caller can craft a
+/// body whose fingerprint equals that of another caller's request.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Fingerprint([u8; 12]);
 
-/// What a request is told from others by.
+/// The parts of a request that distinguish it from others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Content<'a> {
-    /// The workspace that it is served for; none on a public route.
+    /// Workspace of the caller; `None` on a public route.
     pub workspace: Option<&'a str>,
-    /// Its method.
+    /// HTTP method.
     pub method: &'a str,
-    /// The name of the host that it is sent to.
+    /// Host name in the request.
     pub host: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// Its body.
+    /// Request body.
     pub body: &'a [u8],
 }
 
 impl Content<'_> {
-    /// Gives the digest.
+    /// Returns the fingerprint.
     pub fn fingerprint(&self) -> Fingerprint {
         let workspace = self.workspace.unwrap_or_default();
         let caller = xxh3_64(workspace.as_bytes()).to_be_bytes();
         let mut content = Xxh3::new();
         for part in [self.method, self.host, self.target].map(str::as_bytes) {
-            // Lengths keep the end of one part from being taken for the beginning of the next.
+            // The length prefix separates adjacent parts.
             content.update(&part.len().to_be_bytes());
             content.update(part);
         }
@@ -51,7 +51,7 @@
     }
 }
 
-/// A text that is no digest.
+/// Error for a text that is not a fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Unreadable;
 
--- a/crates/alderglade-core/src/fleet/freshness.rs
+++ b/crates/alderglade-core/src/fleet/freshness.rs
@@ -1,38 +1,37 @@
-//! How old the host's word of the store is, and whether keys may still be trusted.
+//! Age of the host's knowledge of the store, which decides whether API keys may still be trusted.
 //!
-//! A key that is taken away must stop working within a bound on every host, also on one that is
-//! cut off from the store. A host therefore trusts keys only while the store has confirmed, less
-//! than that bound ago, that nothing newer exists.
+//! A revoked key must stop working within a bound on every host, including hosts that are disconnected from the store.
+//! A host therefore trusts keys only if the store has confirmed less than that bound ago that nothing newer exists.
 
 use crate::time::Time;
 use std::time::Duration;
 
-/// What is taken off the bound for the time between the check and the work.
+/// Safety margin for the time between the check of a key and the work for the request.
 const MARGIN: Duration = Duration::from_millis(150);
 
-/// The age of the last confirmation.
+/// The time of the last confirmation by the store.
 #[derive(Debug, Default)]
 pub struct Freshness {
     confirmed: Option<Time>,
 }
 
 impl Freshness {
-    /// Notes that the host knew everything the store had accepted by `at`.
+    /// Records that the host knew everything that the store had accepted by `at`.
     pub fn confirm(&mut self, at: Time) {
         self.confirmed = self.confirmed.max(Some(at));
     }
 
-    /// Gives the time up to which the host knows all that the store had accepted.
+    /// Returns the time up to which the host knows everything that the store had accepted.
     pub fn confirmed(&self) -> Option<Time> {
         self.confirmed
     }
 
-    /// Gives the age of the last confirmation, if there was one.
+    /// Returns the age of the last confirmation, if there was one.
     pub fn age(&self, now: Time) -> Option<Duration> {
         self.confirmed.map(|at| now.since(at))
     }
 
-    /// Says whether a key may be trusted where a key taken away must be refused within `bound`.
+    /// Returns whether keys may be trusted if a revoked key must be rejected within `bound`.
     pub fn trusts_keys(&self, now: Time, bound: Duration) -> bool {
         self.age(now).is_some_and(|age| age + MARGIN < bound)
     }
--- a/crates/alderglade-core/src/fleet/group.rs
+++ b/crates/alderglade-core/src/fleet/group.rs
@@ -5,10 +5,10 @@
 //! groups: a host sends requests to the servers of its own group and reports to the hosts of that group. Each group has
 //! hosts in every failure domain, so the loss of a domain affects all groups equally.
 //!
-//! The group of a host follows from its name and the number of groups, which is a power of two and doubles with the number
-//! of hosts. While hosts disagree on the number of groups, one host's group contains the other's. The servers of a service
-//! are assigned evenly: they are ordered by hash and split into as many equal ranges as there are groups. A server that is
-//! added or removed moves one server at each boundary between ranges.
+//! The group of a host follows from its name and the number of groups, which is a power of two and doubles with the
+//! number of hosts. While hosts disagree on the number of groups, one host's group contains the other's. The servers of
+//! a service are assigned evenly: they are ordered by hash and split into as many equal ranges as there are groups. A
+//! server that is added or removed moves one server at each boundary between ranges.
 
 use super::directory::Server;
 use super::incarnation::Key;
--- a/crates/alderglade-core/src/fleet/homes.rs
+++ b/crates/alderglade-core/src/fleet/homes.rs
@@ -1,30 +1,31 @@
-//! The regions in which a request may run, as its route and its workspace say.
+//! The regions in which a request may run, as restricted by its route and its workspace.
 
 use crate::Name;
 use std::sync::Arc;
 
-/// The homes of one request.
+/// The home regions of one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Homes {
-    /// The regions that each of its route and its workspace allows, where it names some.
+    /// The regions allowed by the route and by the workspace; one that names no regions is left out.
     allowed: Vec<Arc<[Name]>>,
 }
 
 impl Homes {
-    /// Makes the homes of a request from the regions that its route and its workspace name; one that names none allows all.
+    /// Creates the homes of a request from the region lists of its route and its workspace. An empty list allows all
+    /// regions.
     pub fn of(lists: impl IntoIterator<Item = Arc<[Name]>>) -> Homes {
-        let named = lists.into_iter().filter(|list| !list.is_empty());
+        let nonempty = lists.into_iter().filter(|list| !list.is_empty());
         Homes {
-            allowed: named.collect(),
+            allowed: nonempty.collect(),
         }
     }
 
-    /// Says whether the request may run anywhere.
+    /// Returns whether the request may run in any region.
     pub fn is_unrestricted(&self) -> bool {
         self.allowed.is_empty()
     }
 
-    /// Says whether it may run in a region. One that isn't known is nobody's home.
+    /// Returns whether the request may run in a region. An unknown region is allowed only for an unrestricted request.
     pub fn allow(&self, region: Option<&Name>) -> bool {
         let allows = |list: &Arc<[Name]>| region.is_some_and(|region| list.contains(region));
         self.allowed.iter().all(allows)
--- a/crates/alderglade-core/src/fleet/incarnation.rs
+++ b/crates/alderglade-core/src/fleet/incarnation.rs
@@ -1,25 +1,25 @@
-//! Which start of a backend server a fact is about.
+//! Incarnations of backend servers.
 //!
-//! A server may start again under the id that it had. It then holds and knows nothing of before, so what was learnt of
-//! its former lifetime says nothing of the new one. Facts are kept and told by [`Key`], which no two incarnations share:
-//! a late one finds nobody that it could be taken for. Only the directory of servers, which knows both the id and the
-//! birth, decides which incarnation is the newer one.
+//! A server may restart under the same id. It then has none of its former state, so facts about its former incarnation
+//! don't apply to the new one. Facts are stored and sent by [`Key`], which no two incarnations share: a late fact about
+//! an old incarnation matches no server. Only the directory of servers, which knows both the id and the birth time,
+//! decides which incarnation is the newer one.
 
 use crate::Name;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// One lifetime of a backend server.
+/// One incarnation of a backend server: the time from one start of its process to the next.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// The server's id, which may outlive the process.
+    /// The server's id, which may outlive its process.
     pub id: Name,
-    /// When it started, in Unix milliseconds, if it says so.
+    /// Start time in Unix milliseconds, if the server reports it.
     pub born: Option<u64>,
 }
 
 impl Incarnation {
-    /// Names the incarnation of a server that was born at a time, if it says when.
+    /// Creates the incarnation of a server with a given birth time, if known.
     pub fn new(id: impl Into<Name>, born: Option<u64>) -> Incarnation {
         Incarnation {
             id: id.into(),
@@ -27,28 +27,28 @@
         }
     }
 
-    /// Gives the key of facts about it.
+    /// Returns the key that facts about this incarnation are stored and sent by.
     pub fn key(&self) -> Key {
-        // Births lie far from the end of the numbers; nothing is lost if one were made up.
+        // Birth times are far below the maximum, so this doesn't wrap. Wrapping is harmless for a forged one.
         let seed = self.born.map_or(0, |born| born.wrapping_add(1));
         let hash = xxh3_64_with_seed(self.id.as_bytes(), seed).to_be_bytes();
         let [first, second, third, fourth, fifth, sixth, ..] = hash;
         Key([first, second, third, fourth, fifth, sixth])
     }
 
-    /// Says whether it is known to be a later start of the same server.
+    /// Returns whether this is known to be a later incarnation of the same server.
     pub fn supersedes(&self, other: &Incarnation) -> bool {
-        let births = self.born.zip(other.born);
-        self.id == other.id && births.is_some_and(|(own, other)| own > other)
+        let birth_times = self.born.zip(other.born);
+        self.id == other.id && birth_times.is_some_and(|(own, other)| own > other)
     }
 
-    /// Says whether what was born then, and may not say so, can be this incarnation.
+    /// Returns whether a process with the given birth time may be this incarnation. An unknown birth time matches any.
     pub fn may_be(&self, born: Option<u64>) -> bool {
-        let births = self.born.zip(born);
-        births.is_none_or(|(own, other)| own == other)
+        let birth_times = self.born.zip(born);
+        birth_times.is_none_or(|(own, other)| own == other)
     }
 
-    /// Takes the birth of the incarnation that is known where it says none itself.
+    /// Fills in a missing birth time from the known incarnation.
     pub(super) fn or_known(self, known: &Incarnation) -> Incarnation {
         Incarnation {
             born: self.born.or(known.born),
@@ -57,17 +57,17 @@
     }
 }
 
-/// The key of facts about one incarnation of a backend server: a digest of its id and its birth.
+/// The key of one incarnation of a backend server: a digest of its id and birth time.
 ///
-/// Six bytes in each holding that a host tells its peers, where an id and a birth would be seventeen. Among twelve hundred
-/// servers, two share a key once in four hundred million deployments.
+/// It takes six bytes in each holding that a host sends to its peers; an id and a birth time would take seventeen.
+/// Among 1,200 servers, two share a key in one of 400 million deployments.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Key([u8; 6]);
 
 impl Key {
-    /// Gives the key as a number that is as evenly spread as its bytes.
+    /// Returns the key as a number. Its lower 48 bits are as evenly distributed as the bytes of the key.
     pub(super) fn number(self) -> u64 {
         let Key([first, second, third, fourth, fifth, sixth]) = self;
         u64::from_be_bytes([0, 0, first, second, third, fourth, fifth, sixth])
--- a/crates/alderglade-core/src/fleet/position.rs
+++ b/crates/alderglade-core/src/fleet/position.rs
@@ -1,30 +1,30 @@
-//! How far a host knows the store.
+//! Positions in the history of the store.
 //!
-//! A store may come back from a copy some seconds old. Its revisions then go back, and are given out again for other
-//! changes: the same number stands for another history. Each time it does, its *era* rises by one. Only both together say
-//! what is later.
+//! The store may be restored from a copy that is some seconds old. Its revisions then go back and are assigned again to
+//! other changes, so the same revision stands for a different history. Each restore increments the store's *era*. Only
+//! era and revision together determine which of two positions is later.
 
 use serde::{Deserialize, Serialize};
 
-/// A revision of the store in one of its eras. Whatever is of a later era is later.
+/// A revision of the store in one of its eras. Every position of a later era is later.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Position {
-    /// How often the store has come back from a copy, as it says; `0` where it doesn't.
+    /// Number of times that the store has been restored from a copy, as it reports; `0` if it doesn't report it.
     pub era: u64,
-    /// The revision.
+    /// The revision within the era.
     pub revision: u64,
 }
 
 impl Position {
-    /// Names a revision of an era.
+    /// Creates the position of a revision in an era.
     pub fn new(era: u64, revision: u64) -> Position {
         Position { era, revision }
     }
 
-    /// Says whether changes that come after this position can be taken by whoever knows all up to `known`: it is of
-    /// the same history, and nothing lies between.
+    /// Returns whether changes that start after this position can be applied on top of `known`: both are of the same
+    /// era, and there is no gap between them.
     pub fn joins(&self, known: Position) -> bool {
         self.era == known.era && *self <= known
     }
--- a/crates/alderglade-core/src/fleet/quarantine.rs
+++ b/crates/alderglade-core/src/fleet/quarantine.rs
@@ -1,21 +1,21 @@
 //! Quarantine of requests that crash backend servers.
 //!
-//! A request may crash every server that begins to run it. Its caller retries under another id at any host, so a limit on
-//! attempts does not stop it: servers crash until none is left. The quarantine therefore identifies requests by their
-//! [`Fingerprint`], shares its findings with all hosts, and is kept in the store, where it outlives a host.
+//! A request may crash every server that begins to run it. Its caller retries under another id at any host, so a limit
+//! on attempts does not stop it: servers crash until none is left. The quarantine therefore identifies requests by
+//! their [`Fingerprint`], shares its findings with all hosts, and is kept in the store, where it outlives a host.
 //!
-//! A crashing server takes all its requests with it, and these often meet again at the next server because all hosts rank
-//! the same one best. Having run on a crashed server is therefore no proof. A request is found guilty of
-//! [`GUILTY_CRASHES`] crashes only if no other request explains them. Requests with the most crashes are evaluated first,
-//! and their crashes are then explained for all other requests that ran beside them. Of two requests with the same
-//! crashes, neither is barred until another crash separates them or [`CERTAIN_CRASHES`] is reached. Nor is a request
-//! barred if as many servers crash without it at the same time, as when a rack fails. At [`MAX_CRASHES`] a request is
-//! barred regardless of any other explanation. A completed answer clears its request of all earlier crashes and, for
-//! [`CLEARED_AFTER_SUCCESS`], of later ones: a frequent request is present at many crashes.
+//! A crashing server takes all its requests with it, and these often meet again at the next server because all hosts
+//! rank the same one best. Having run on a crashed server is therefore no proof. A request is found guilty of
+//! [`GUILTY_CRASHES`] crashes only if no other request explains them. Requests with the most crashes are evaluated
+//! first, and their crashes are then explained for all other requests that ran beside them. Of two requests with the
+//! same crashes, neither is barred until another crash separates them or [`CERTAIN_CRASHES`] is reached. Nor is a
+//! request barred if as many servers crash without it at the same time, as when a rack fails. At [`MAX_CRASHES`] a
+//! request is barred regardless of any other explanation. A completed answer clears its request of all earlier crashes
+//! and, for [`CLEARED_AFTER_SUCCESS`], of later ones: a frequent request is present at many crashes.
 //!
-//! Findings are only ever added, and each refers to one incarnation of a server, so late, repeated or reordered findings
-//! lead to the same result. Crashes are evaluated once all hosts have reported theirs ([`SETTLE_DELAY`]); requests that
-//! depend on the evaluation wait for it.
+//! Findings are only ever added, and each refers to one incarnation of a server, so late, repeated or reordered
+//! findings lead to the same result. Crashes are evaluated once all hosts have reported theirs ([`SETTLE_DELAY`]);
+//! requests that depend on the evaluation wait for it.
 
 mod evidence;
 mod finding;
@@ -32,19 +32,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Number of unexplained crashes that show that a request causes them. One may be chance, and so may two when many servers
-/// crash at once. Three crashes are tolerated.
+/// Number of unexplained crashes that show that a request causes them. One may be chance, and so may two when many
+/// servers crash at once. Three crashes are tolerated.
 const GUILTY_CRASHES: usize = 3;
-/// Number of crashes at which a request is barred even if other requests share all of them or many servers crashed at the
-/// same time.
+/// Number of crashes at which a request is barred even if other requests share all of them or many servers crashed at
+/// the same time.
 const CERTAIN_CRASHES: usize = 5;
-/// Number of crashes at which a request is barred regardless of any other explanation. At most three sends after the third
-/// crash are tolerated, and when several such requests come together, those barred first explain the crashes of
+/// Number of crashes at which a request is barred regardless of any other explanation. At most three sends after the
+/// third crash are tolerated, and when several such requests come together, those barred first explain the crashes of
 /// the others.
 const MAX_CRASHES: usize = 6;
-/// A request that has run at a server for longer than this did not crash it. A request that crashes servers does so as it
-/// begins to run, within 0.2 s in every recorded crash. Innocent long answers are rarely this young at three crashes in a
-/// row.
+/// A request that has run at a server for longer than this did not crash it. A request that crashes servers does so as
+/// it begins to run, within 0.2 s in every recorded crash. Innocent long answers are rarely this young at three crashes
+/// in a row.
 const CRASH_WINDOW: Duration = Duration::from_millis(2_000);
 /// How long a request is not barred after a completed answer, regardless of crashes. A request that crashes servers is
 /// never answered; one that many callers send is answered several times within this time, even while servers keep
@@ -55,8 +55,8 @@
 /// How long a request is barred. It can be released by hand if the servers are fixed sooner.
 pub const BAR_DURATION: Duration = Duration::from_secs(3_600);
 /// Age at which a crash is evaluated. Hosts with requests at the server notice the crash within a few milliseconds and
-/// report it to the others within a few more. Evaluated earlier, a request that only ran beside the cause would be judged
-/// by its own crashes alone.
+/// report it to the others within a few more. Evaluated earlier, a request that only ran beside the cause would be
+/// judged by its own crashes alone.
 const SETTLE_DELAY: Duration = Duration::from_millis(200);
 /// Maximum number of requests whose crashes are remembered, at about a hundred bytes each. Requests with the fewest
 /// crashes are evicted first.
@@ -125,8 +125,8 @@
         self.barred.is_empty()
     }
 
-    /// Records that a server interrupted a request, which had run there for `ran` if it had begun. A broken connection is no
-    /// proof of a crash: the interruption counts only if [`Quarantine::record_server_end`] follows.
+    /// Records that a server interrupted a request, which had run there for `ran` if it had begun. A broken connection
+    /// is no proof of a crash: the interruption counts only if [`Quarantine::record_server_end`] follows.
     pub fn record_interruption(
         &mut self,
         fingerprint: Fingerprint,
@@ -223,8 +223,8 @@
         }
     }
 
-    /// Applies the list of barred requests from a restored copy of the store. Barred requests that are missing there are to
-    /// be stored again, and ones that were released since are to be removed again. All others are barred.
+    /// Applies the list of barred requests from a restored copy of the store. Barred requests that are missing there
+    /// are to be stored again, and ones that were released since are to be removed again. All others are barred.
     pub fn restore(&mut self, listed: &[(Fingerprint, Duration)], now: Time) {
         let mut stale = Vec::new();
         for (fingerprint, left) in listed {
@@ -294,7 +294,8 @@
         is_due && !self.barred.contains_key(&fingerprint)
     }
 
-    /// Evaluates all settled crashes: bars requests that are found guilty and releases those barred in place of another.
+    /// Evaluates all settled crashes: bars requests that are found guilty and releases those barred in place of
+    /// another.
     pub fn evaluate(&mut self, now: Time) {
         if !self.needs_evaluation {
             return;
--- a/crates/alderglade-core/src/fleet/quarantine/evidence.rs
+++ b/crates/alderglade-core/src/fleet/quarantine/evidence.rs
@@ -131,8 +131,8 @@
     /// Returns whether as many servers crashed without it, from shortly before its first crash until its last. Its own
     /// crashes may then be chance.
     fn may_be_chance(&self, all: &CrashTimes, explained: &Servers) -> bool {
-        /// A common cause crashes many servers within about a second. When it crashed a quarter of ninety servers, up to five
-        /// had crashed before the first one with this request.
+        /// A common cause crashes many servers within about a second. When it crashed a quarter of ninety servers, up
+        /// to five had crashed before the first one with this request.
         const LEAD_TIME: Duration = Duration::from_millis(2_000);
         let first = self.crashes.values().min().map(|first| *first - LEAD_TIME);
         let last = self.crashes.values().max().copied();
@@ -161,8 +161,8 @@
     pub(super) innocent: Vec<Fingerprint>,
 }
 
-/// Evaluates requests by the evidence up to a time. `all` are the crashes of all servers. Requests that are barred already
-/// explain their crashes.
+/// Evaluates requests by the evidence up to a time. `all` are the crashes of all servers. Requests that are barred
+/// already explain their crashes.
 pub(super) fn evaluate(
     suspects: &BTreeMap<Fingerprint, Suspect>,
     all: &CrashTimes,
--- a/crates/alderglade-core/src/fleet/quarantine/finding.rs
+++ b/crates/alderglade-core/src/fleet/quarantine/finding.rs
@@ -106,8 +106,8 @@
         self.is_new || now.since(self.recorded_at) < heartbeat::PLACED_REPORT_TIME
     }
 
-    /// Returns the finding with its age or remaining time as of `now`, and marks it as reported. `barred` is the end of the
-    /// bar of the request, if it is barred.
+    /// Returns the finding with its age or remaining time as of `now`, and marks it as reported. `barred` is the end of
+    /// the bar of the request, if it is barred.
     pub(super) fn report(&mut self, barred: Option<&Time>, now: Time) -> Finding {
         self.is_new = false;
         let age = now.since(self.at);
--- a/crates/alderglade-core/src/fleet/quarantine/interruption.rs
+++ b/crates/alderglade-core/src/fleet/quarantine/interruption.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How long it may take to learn that a server has crashed. Its entry is dropped after three heartbeats of 1.2 s, and the
-/// change may take some seconds to arrive.
+/// How long it may take to learn that a server has crashed. Its entry is dropped after three heartbeats of 1.2 s, and
+/// the change may take some seconds to arrive.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(8_000);
 /// Maximum number of interruptions that are remembered. This exceeds all requests that one host has at the servers of a
 /// failure domain.
--- a/crates/alderglade-core/src/fleet/reassembly.rs
+++ b/crates/alderglade-core/src/fleet/reassembly.rs
@@ -1,8 +1,8 @@
 //! Splitting and reassembly of server changes that don't fit into one packet.
 //!
-//! When hundreds of servers start within seconds, the changes from one watch of the store exceed a packet, and each host
-//! that does not receive them queries the store. Each fragment carries its index and count. The changes are applied once
-//! all fragments have arrived.
+//! When hundreds of servers start within seconds, the changes from one watch of the store exceed a packet, and each
+//! host that does not receive them queries the store. Each fragment carries its index and count. The changes are
+//! applied once all fragments have arrived.
 
 use super::directory::Change;
 use super::message::{Fragment, Servers};
@@ -15,8 +15,8 @@
 /// ones are never sent again.
 const MAX_INCOMPLETE: usize = 8;
 
-/// Splits changes into fragments with at most `max_bytes` of changes each. `size` returns the bytes of one change. Returns no
-/// fragments if a single change is larger or there would be too many fragments.
+/// Splits changes into fragments with at most `max_bytes` of changes each. `size` returns the bytes of one change.
+/// Returns no fragments if a single change is larger or there would be too many fragments.
 pub fn split(whole: &Servers, max_bytes: usize, size: impl Fn(&Change) -> usize) -> Vec<Servers> {
     let mut fragments: Vec<Vec<Change>> = Vec::new();
     let mut space_left = 0;
--- a/crates/alderglade-core/tests/testsuite/fleet/fanout.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/fanout.rs
@@ -1,4 +1,5 @@
-//! Notices forwarded in other failure domains by one of their hosts: who receives them, and the traffic between domains.
+//! Notices forwarded in other failure domains by one of their hosts: who receives them, and the traffic between
+//! domains.
 
 use super::{empty_notice, hold, key};
 use crate::each_seed;
@@ -191,8 +192,8 @@
     }
 }
 
-/// Hosts reserve and release, messages are lost, hosts die. A few heartbeats later all live hosts see the same load, and
-/// the load of a dead host has expired everywhere.
+/// Hosts reserve and release, messages are lost, hosts die. A few heartbeats later all live hosts see the same load,
+/// and the load of a dead host has expired everywhere.
 #[test]
 fn all_hosts_see_the_same_load_a_few_heartbeats_later() {
     const BEAT: Duration = Duration::from_millis(250);
--- a/crates/alderglade-core/tests/testsuite/fleet/faults.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Entries that can't be read: each is told of once, and no number of them is too many.
+//! Unreadable entries: each is reported once, and their number is unlimited.
 
 use alderglade_core::fleet::faults::{Fault, Faults, News};
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn an_entry_is_told_of_once_a_change() {
+fn an_entry_is_reported_once_per_change() {
     let mut faults = Faults::default();
     faults.note(&fault("a", "no state"));
     faults.note(&fault("a", "no state"));
@@ -24,11 +24,15 @@
     faults.clear("unknown");
     assert_eq!(faults.take_news().resolved, ["a".into()]);
     faults.note(&fault("a", "no address"));
-    assert_eq!(faults.take_news().faults.len(), 1, "it was good meanwhile");
+    assert_eq!(
+        faults.take_news().faults.len(),
+        1,
+        "it was readable in between"
+    );
 }
 
 #[test]
-fn entries_that_a_list_no_longer_has_are_mended() {
+fn entries_missing_from_a_list_are_resolved() {
     let mut faults = Faults::default();
     let both = [fault("a", "none"), fault("b", "none")];
     both.iter().for_each(|fault| faults.note(fault));
@@ -37,9 +41,9 @@
     assert_eq!(faults.take_news().resolved, ["a".into()]);
 }
 
-/// Another writer may put in as many as it likes.
+/// Other writers may add any number of unreadable entries.
 #[test]
-fn of_many_entries_a_few_are_told_and_all_are_counted() {
+fn of_many_entries_a_few_are_reported_and_all_are_counted() {
     let mut faults = Faults::default();
     for number in 0..100_000 {
         faults.note(&fault(&format!("e{number}"), "none"));
--- a/crates/alderglade-core/tests/testsuite/fleet/fingerprint.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/fingerprint.rs
@@ -1,8 +1,8 @@
-//! What tells one request from another, whoever sends it and however often.
+//! Fingerprints distinguish requests and are equal across retries.
 
 use alderglade_core::fleet::fingerprint::{Content, Fingerprint};
 
-const ASKED: Content<'static> = Content {
+const REQUEST: Content<'static> = Content {
     workspace: Some("clinic"),
     method: "POST",
     host: "one.example",
@@ -11,61 +11,68 @@
 };
 
 #[test]
-fn the_same_is_asked_whenever_caller_path_and_body_are_the_same() {
-    assert_eq!(ASKED.fingerprint(), ASKED.fingerprint());
+fn equal_caller_path_and_body_have_the_same_fingerprint() {
+    assert_eq!(REQUEST.fingerprint(), REQUEST.fingerprint());
 }
 
 #[test]
-fn anything_else_is_another_request() {
+fn any_other_difference_changes_the_fingerprint() {
     let others = [
         Content {
             workspace: Some("harbour"),
-            ..ASKED
+            ..REQUEST
         },
         Content {
             workspace: None,
-            ..ASKED
+            ..REQUEST
         },
         Content {
             method: "PUT",
-            ..ASKED
+            ..REQUEST
         },
         Content {
             host: "two.example",
-            ..ASKED
+            ..REQUEST
         },
         Content {
             target: "/stream/x?a=2",
-            ..ASKED
+            ..REQUEST
         },
         Content {
             body: b"another prompt",
-            ..ASKED
+            ..REQUEST
         },
-        // The end of one part is not the beginning of the next.
+        // Bytes moved from one part to the next.
         Content {
             target: "/stream/x?a=1a",
             body: b" prompt",
-            ..ASKED
+            ..REQUEST
         },
     ];
     for other in others {
-        assert_ne!(other.fingerprint(), ASKED.fingerprint(), "{other:?}");
+        assert_ne!(other.fingerprint(), REQUEST.fingerprint(), "{other:?}");
     }
 }
 
-/// Whatever a caller sends, a part of the digest is its own: it can't have another caller's request suspected.
+/// Part of the digest depends on the caller's workspace alone, so a caller can't cast suspicion on another caller's
+/// request.
 #[test]
-fn callers_of_other_workspaces_share_no_digest() {
-    let caller = |asked: Fingerprint| asked.to_string()[..8].to_string();
+fn callers_of_different_workspaces_share_no_fingerprint() {
+    let caller_part = |fingerprint: Fingerprint| fingerprint.to_string()[..8].to_string();
     let other = Content {
         workspace: Some("harbour"),
-        ..ASKED
+        ..REQUEST
     };
-    assert_ne!(caller(ASKED.fingerprint()), caller(other.fingerprint()));
+    assert_ne!(
+        caller_part(REQUEST.fingerprint()),
+        caller_part(other.fingerprint())
+    );
     let body = Content {
         body: b"something else",
-        ..ASKED
+        ..REQUEST
     };
-    assert_eq!(caller(ASKED.fingerprint()), caller(body.fingerprint()));
+    assert_eq!(
+        caller_part(REQUEST.fingerprint()),
+        caller_part(body.fingerprint())
+    );
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/freshness.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/freshness.rs
@@ -1,4 +1,4 @@
-//! Keys are trusted only while the store's word is young enough.
+//! Keys are trusted only while the last confirmation by the store is recent enough.
 
 use alderglade_core::fleet::freshness::Freshness;
 use alderglade_core::time::Time;
@@ -7,7 +7,7 @@
 const BOUND: Duration = Duration::from_secs(5);
 
 #[test]
-fn without_any_word_no_key_is_trusted() {
+fn without_a_confirmation_no_key_is_trusted() {
     assert!(!Freshness::default().trusts_keys(Time(0), BOUND));
 }
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_older_confirmation_takes_nothing_back() {
+fn an_older_confirmation_is_ignored() {
     let mut freshness = Freshness::default();
     freshness.confirm(Time::from_millis(4_000));
     freshness.confirm(Time::from_millis(1_000));
--- a/crates/alderglade-core/tests/testsuite/fleet/group.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/group.rs
@@ -232,8 +232,8 @@
     watchers
 }
 
-/// If every host sent to every other, ten times the hosts would send a hundred times the messages. From a hundred hosts on,
-/// the messages that one host sends may grow at most as the number of hosts to the power of 0.1.
+/// If every host sent to every other, ten times the hosts would send a hundred times the messages. From a hundred hosts
+/// on, the messages that one host sends may grow at most as the number of hosts to the power of 0.1.
 #[test]
 fn messages_per_host_hardly_grow_with_the_fleet() {
     const POWER: f64 = 0.1;
@@ -252,8 +252,8 @@
     }
 }
 
-/// Quarantine findings in a notice reach every partition of the fleet. Load held at a server of another group reaches the
-/// hosts of that group.
+/// Quarantine findings in a notice reach every partition of the fleet. Load held at a server of another group reaches
+/// the hosts of that group.
 #[test]
 fn notices_that_concern_other_groups_reach_their_partitions() {
     let all = hosts(985);
@@ -301,7 +301,8 @@
     assert_eq!(partitions.len(), groups_but_own * DOMAINS);
 }
 
-/// Hosts that elect the watchers of the store. Each receives notices from its group and from the watchers of its domain.
+/// Hosts that elect the watchers of the store. Each receives notices from its group and from the watchers of its
+/// domain.
 struct Election {
     hosts: Vec<Host>,
     division: Division,
@@ -362,8 +363,8 @@
     }
 }
 
-/// A thousand hosts start at the same moment. Two of each failure domain become watchers of the store, and no other host
-/// ever does. When the whole group of these watchers dies, hosts of the next group take over.
+/// A thousand hosts start at the same moment. Two of each failure domain become watchers of the store, and no other
+/// host ever does. When the whole group of these watchers dies, hosts of the next group take over.
 #[test]
 fn two_hosts_of_each_domain_watch_the_store() {
     let mut election = Election::new(1_000);
@@ -386,8 +387,8 @@
     assert!(watchers.iter().all(|host| !election.dead.contains(host)));
 }
 
-/// Each host asks one of the two watchers of its failure domain to confirm how recent its store status is, so the load of a
-/// watcher grows with the domain. Requests and responses must leave room in a host's 13 KB per second.
+/// Each host asks one of the two watchers of its failure domain to confirm how recent its store status is, so the load
+/// of a watcher grows with the domain. Requests and responses must leave room in a host's 13 KB per second.
 #[test]
 fn confirmation_requests_are_spread_over_hosts() {
     const BEATS: u64 = 12;
--- a/crates/alderglade-core/tests/testsuite/fleet/homes.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/homes.rs
@@ -1,4 +1,4 @@
-//! Where a request may run: its route and its workspace each bind.
+//! The regions where a request may run, as restricted by its route and its workspace.
 
 use alderglade_core::Name;
 use alderglade_core::fleet::homes::Homes;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn one_that_names_no_regions_allows_all() {
+fn empty_lists_allow_all_regions() {
     let homes = Homes::of([list(&[]), list(&[])]);
     assert!(homes.is_unrestricted());
     assert!(homes.allow(Some(&"bayern".into())));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn both_bind() {
+fn both_lists_apply() {
     let homes = Homes::of([list(&["bayern", "tirol"]), list(&["tirol", "wien"])]);
     let allows = |region: &str| homes.allow(Some(&region.into()));
     assert_eq!(
@@ -27,6 +27,6 @@
 }
 
 #[test]
-fn a_region_that_is_not_known_is_nobodys_home() {
+fn an_unknown_region_is_not_allowed() {
     assert!(!Homes::of([list(&["bayern"])]).allow(None));
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/incarnation.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/incarnation.rs
@@ -1,5 +1,5 @@
-//! Backend servers that start again under their id, and entries that can't be read: over the life of one server, and
-//! over seeded schedules of several hosts whose knowledge is of different age.
+//! Backend servers that restart under the same id, and entries that can't be parsed: the life of a single server, and
+//! seeded schedules of several hosts whose knowledge differs in age.
 
 use super::{empty_notice, hold, key, profile};
 use crate::each_seed;
@@ -44,11 +44,11 @@
     }
 }
 
-fn bad(id: &str) -> Change {
+fn unreadable(id: &str) -> Change {
     Change::Unreadable(fault(id))
 }
 
-/// A directory that has taken these changes.
+/// Creates a directory and applies the changes to it.
 fn after(changes: &[Change]) -> Directory {
     let mut directory = Directory::default();
     for change in changes {
@@ -57,38 +57,38 @@
     directory
 }
 
-fn open(directory: &Directory) -> Vec<Incarnation> {
+fn active(directory: &Directory) -> Vec<Incarnation> {
     let servers = directory.of_service("llm");
     servers.map(|server| server.incarnation.clone()).collect()
 }
 
 #[test]
-fn a_server_that_has_left_and_started_again_is_used_again() {
+fn a_server_that_left_and_restarted_is_used_again() {
     let (first, second) = (born("a", 1), born("a", 2));
     let directory = after(&[ready(&first), leaving(&first), ready(&second)]);
-    assert_eq!(open(&directory), [second]);
+    assert_eq!(active(&directory), [second]);
 }
 
 #[test]
-fn a_peers_word_that_it_leaves_is_of_one_lifetime() {
+fn a_peers_report_of_leaving_applies_to_one_incarnation() {
     let (first, second) = (born("a", 1), born("a", 2));
     let mut directory = after(&[ready(&second)]);
     directory.mark_leaving(first.key(), Time(0));
-    assert_eq!(open(&directory), std::slice::from_ref(&second));
+    assert_eq!(active(&directory), std::slice::from_ref(&second));
     directory.mark_leaving(second.key(), Time(0));
-    assert!(open(&directory).is_empty());
+    assert!(active(&directory).is_empty());
     assert_eq!(directory.leaving(), [second.key()]);
 }
 
 #[test]
-fn what_comes_late_of_a_former_lifetime_changes_nothing() {
+fn late_changes_of_a_former_incarnation_are_ignored() {
     let (first, second) = (born("a", 1), born("a", 2));
     let directory = after(&[ready(&second), leaving(&first), ready(&first)]);
-    assert_eq!(open(&directory), [second]);
+    assert_eq!(active(&directory), [second]);
 }
 
 #[test]
-fn hosts_that_know_different_lifetimes_see_that_they_differ() {
+fn different_incarnations_have_different_digests() {
     let (first, second) = (born("a", 1), born("a", 2));
     let digest = |changes: &[Change]| after(changes).digest();
     assert_ne!(digest(&[ready(&first)]), digest(&[ready(&second)]));
@@ -99,21 +99,25 @@
 }
 
 #[test]
-fn an_entry_without_a_birth_is_of_the_lifetime_that_is_known() {
+fn an_entry_without_a_birth_time_belongs_to_the_known_incarnation() {
     let first = born("a", 1);
     let silent = Incarnation::new("a", None);
     let mut directory = after(&[ready(&first), ready(&silent)]);
-    assert_eq!(open(&directory), std::slice::from_ref(&first));
+    assert_eq!(active(&directory), std::slice::from_ref(&first));
     directory.apply(leaving(&silent), Time(0));
     directory.apply(ready(&silent), Time(0));
-    assert!(open(&directory).is_empty(), "it has said that it leaves");
+    assert!(
+        active(&directory).is_empty(),
+        "it has announced that it is leaving"
+    );
     directory.apply(ready(&born("a", 2)), Time(0));
-    assert_eq!(open(&directory), [born("a", 2)]);
+    assert_eq!(active(&directory), [born("a", 2)]);
 }
 
-/// A host that starts between an entry without a birth and the next one with it must not break off what it has sent.
+/// A host may start between an entry without a birth time and the next one that has it. It must not abort the requests
+/// that it has sent.
 #[test]
-fn a_birth_that_becomes_known_ends_nothing() {
+fn a_birth_time_that_becomes_known_is_no_restart() {
     let silent = Incarnation::new("a", None);
     let mut directory = after(&[ready(&silent), ready(&born("a", 1))]);
     assert!(!directory.is_superseded(&silent));
@@ -121,7 +125,7 @@
 }
 
 #[test]
-fn a_restart_is_told_once_and_ends_what_was_sent_before() {
+fn a_restart_is_reported_once_and_supersedes_the_former_incarnation() {
     let (first, second) = (born("a", 1), born("a", 2));
     let mut directory = after(&[ready(&first)]);
     assert!(directory.take_restarts().is_empty());
@@ -135,80 +139,80 @@
     assert!(!directory.is_superseded(&second));
     assert!(
         !directory.is_superseded(&born("b", 0)),
-        "nothing is known of it"
+        "the server is unknown"
     );
 }
 
 #[test]
-fn a_servers_own_word_of_its_birth_ends_the_former_lifetime() {
+fn a_birth_time_reported_by_the_server_supersedes_the_former_incarnation() {
     let (first, second) = (born("a", 1), born("a", 2));
     let mut directory = after(&[ready(&first)]);
     directory.observe_birth("a", 2);
     assert!(directory.is_superseded(&first));
     assert_eq!(
-        open(&directory),
+        active(&directory),
         std::slice::from_ref(&second),
-        "it answers, the store may be away"
+        "it responds, and the store may be unavailable"
     );
-    // Its former entry stands in the store for a while.
+    // Its former entry remains in the store for a while.
     directory.apply(leaving(&first), Time(0));
-    assert_eq!(open(&directory), [second]);
+    assert_eq!(active(&directory), [second]);
     directory.observe_birth("a", 1);
     directory.observe_birth("unknown", 7);
     assert_eq!(directory.len(), 1);
 }
 
-/// It may have been out of use for a reason that its entry tells.
+/// The server may have been out of use for a reason that its entry gives.
 #[test]
-fn a_server_out_of_use_that_has_started_again_waits_for_its_entry() {
+fn a_restarted_server_that_was_out_of_use_waits_for_its_entry() {
     let (first, second) = (born("a", 1), born("a", 2));
     let mut directory = after(&[ready(&first), leaving(&first)]);
     directory.observe_birth("a", 2);
-    assert!(open(&directory).is_empty());
+    assert!(active(&directory).is_empty());
     directory.apply(ready(&second), Time(0));
-    assert_eq!(open(&directory), [second]);
+    assert_eq!(active(&directory), [second]);
 }
 
 #[test]
-fn an_entry_that_turns_bad_takes_its_server_out_of_use_until_it_is_good_again() {
+fn a_server_is_out_of_use_while_its_entry_is_unreadable() {
     let first = born("a", 1);
     let mut directory = after(&[ready(&first), ready(&born("b", 1))]);
-    directory.apply(bad("a"), Time(0));
-    directory.apply(bad("unknown"), Time(0));
-    assert_eq!(open(&directory), [born("b", 1)]);
+    directory.apply(unreadable("a"), Time(0));
+    directory.apply(unreadable("unknown"), Time(0));
+    assert_eq!(active(&directory), [born("b", 1)]);
     assert_eq!(directory.len(), 1);
     assert_eq!(directory.digest(), after(&[ready(&born("b", 1))]).digest());
     directory.apply(ready(&first), Time(0));
-    assert_eq!(open(&directory), [first.clone(), born("b", 1)]);
+    assert_eq!(active(&directory), [first.clone(), born("b", 1)]);
     assert!(
         directory.take_restarts().is_empty(),
-        "it is the same lifetime"
+        "it is the same incarnation"
     );
 }
 
 #[test]
-fn a_list_with_a_bad_entry_takes_just_that_server_out_of_use() {
+fn an_unreadable_entry_in_a_list_affects_only_its_server() {
     let first = born("a", 1);
     let mut directory = after(&[ready(&first), ready(&born("b", 1))]);
-    // In doubt, an entry that is missing is kept for a while; one that is there and bad isn't.
+    // A grace period applies to missing entries, but not to unreadable ones.
     directory.store_lost();
     let listing = Listing {
         servers: vec![server(born("b", 1), false)],
         unreadable: vec![fault("a"), fault("unknown")],
     };
     directory.replace(listing, Time(0));
-    assert_eq!(open(&directory), [born("b", 1)]);
+    assert_eq!(active(&directory), [born("b", 1)]);
 }
 
 #[test]
-fn one_that_was_leaving_and_turns_bad_is_leaving_when_it_is_good_again() {
+fn a_leaving_server_stays_leaving_after_its_entry_was_unreadable() {
     let first = born("a", 1);
-    let directory = after(&[leaving(&first), bad("a"), ready(&first)]);
-    assert!(open(&directory).is_empty());
+    let directory = after(&[leaving(&first), unreadable("a"), ready(&first)]);
+    assert!(active(&directory).is_empty());
 }
 
 #[test]
-fn load_health_and_reading_of_a_former_lifetime_say_nothing_of_the_new_one() {
+fn load_health_and_backlog_of_a_former_incarnation_do_not_carry_over() {
     let (first, second) = (born("a", 1).key(), born("a", 2).key());
     let mut health = Health::default();
     for _ in 0..9 {
@@ -221,40 +225,39 @@
 
     let mut loads = LoadTable::default();
     loads.set_engines([(first, profile())].into());
-    let placed = hold("a", 900_000, 90_000);
-    let placed = alderglade_core::fleet::load_table::Reservation {
+    let reservation = hold("a", 900_000, 90_000);
+    let reservation = alderglade_core::fleet::load_table::Reservation {
         primary: first,
-        ..placed
+        ..reservation
     };
-    let id = loads.reserve(placed, Time(0));
+    let id = loads.reserve(reservation, Time(0));
     loads.set_engines([(second, profile())].into());
     assert!(loads.total(second).holds_nothing());
     assert_eq!(loads.backlog(second, Time(0)).total(), 0.0);
     loads.release(id, Time(0));
-    assert!(
-        loads.total(second).holds_nothing(),
-        "nor when it is given back"
-    );
+    assert!(loads.total(second).holds_nothing(), "nor after the release");
 }
 
-/// What the platform's store says over time, and the servers behind it.
+/// A model of the platform's store and the servers that write to it.
 #[derive(Default)]
 struct Store {
+    /// All changes so far.
     changes: Vec<Change>,
-    /// What each entry says now.
+    /// The latest change of each entry.
     entries: BTreeMap<String, Change>,
+    /// Number of server starts so far; also used as birth time.
     births: u64,
 }
 
 impl Store {
-    /// Lets one of three servers start (again), leave, go, or have its entry spoilt.
+    /// Lets one of three servers start or restart, leave, or go, or makes its entry unreadable.
     fn step(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let id = format!("s{}", u.int_in_range(0..=2)?);
         let known = self.entries.get(&id);
         let change = match (u.int_in_range(0..=5)?, known) {
             (0, Some(Change::Known(server))) => leaving(&server.incarnation),
             (1, Some(_)) => Change::Gone(id.as_str().into()),
-            (2, Some(_)) => bad(&id),
+            (2, Some(_)) => unreadable(&id),
             _ => {
                 self.births += 1;
                 ready(&born(&id, self.births))
@@ -265,7 +268,7 @@
         Ok(())
     }
 
-    /// What a host that has just listed everything knows.
+    /// Returns a full list of the store.
     fn listing(&self) -> Listing {
         let mut listing = Listing::default();
         for change in self.entries.values() {
@@ -278,11 +281,11 @@
         listing
     }
 
-    /// The servers that new work may go to.
-    fn open(&self) -> Vec<Incarnation> {
+    /// Returns the servers that new work may go to.
+    fn active(&self) -> Vec<Incarnation> {
         let servers = self.listing().servers.into_iter();
-        let open = servers.filter(|server| !server.leaving);
-        open.map(|server| server.incarnation).collect()
+        let active = servers.filter(|server| !server.leaving);
+        active.map(|server| server.incarnation).collect()
     }
 }
 
@@ -290,14 +293,14 @@
 #[derive(Default)]
 struct Host {
     directory: Directory,
-    /// Changes that it has taken.
+    /// Number of changes that it has applied.
     position: usize,
-    /// The latest birth that it has heard of, by id, of entries that haven't gone since.
+    /// The latest birth time it has learnt for each id whose entry hasn't been removed since.
     newest: BTreeMap<String, u64>,
 }
 
 impl Host {
-    /// Takes the next change, if there is one.
+    /// Applies the next change, if there is one.
     fn follow(&mut self, store: &Store, now: Time) {
         let Some(change) = store.changes.get(self.position) else {
             return;
@@ -315,7 +318,7 @@
         self.directory.apply(change.clone(), now);
     }
 
-    /// Lists everything.
+    /// Applies a full list of the store.
     fn list(&mut self, store: &Store, now: Time) {
         self.directory.replace(store.listing(), now);
         self.position = store.changes.len();
@@ -326,43 +329,46 @@
         }
     }
 
-    /// Checks that no server is used in a lifetime before the newest one that was heard of.
+    /// Checks that no server is used in an incarnation older than the newest one known.
     fn check(&self) {
-        for incarnation in open(&self.directory) {
+        for incarnation in active(&self.directory) {
             let newest = self.newest.get(&*incarnation.id).copied();
             assert!(incarnation.born >= newest, "{incarnation:?} {newest:?}");
         }
     }
 }
 
-/// Three hosts follow the store at different paces and tell each other which servers leave, late and more than once.
-/// None uses a server in a lifetime that it knows to be over, and when all have caught up, all use the servers that the
-/// store names, whatever they heard on the way.
+/// Three hosts follow the store at different paces and report to each other which servers are leaving, late and
+/// repeatedly. None uses an incarnation that it knows to be superseded, and once all have caught up, all use the
+/// servers that the store lists, regardless of the reports they received on the way.
 #[test]
-fn hosts_of_old_and_new_knowledge_agree_when_they_have_caught_up() {
+fn hosts_at_different_positions_agree_once_they_have_caught_up() {
     each_seed(400, |u| {
         let mut store = Store::default();
         let mut hosts: [Host; 3] = Default::default();
-        let mut told: Vec<Vec<Key>> = Vec::new();
+        let mut reports: Vec<Vec<Key>> = Vec::new();
         for step in 0..u.int_in_range(1..=80)? {
             let now = Time::from_millis(step * 100);
             let host = u.int_in_range(0..=2)?;
             let host = &mut hosts[host];
             match u.int_in_range(0..=7)? {
                 0 | 1 => store.step(u)?,
-                2 => told.push(host.directory.leaving()),
-                3 if !told.is_empty() => {
-                    let notice = &told[u.int_in_range(0..=told.len() - 1)?];
-                    for key in notice {
+                2 => reports.push(host.directory.leaving()),
+                3 if !reports.is_empty() => {
+                    let report = &reports[u.int_in_range(0..=reports.len() - 1)?];
+                    for key in report {
                         host.directory.mark_leaving(*key, now);
                     }
                 }
                 4 => host.list(&store, now),
                 5 => {
                     let id = format!("s{}", u.int_in_range(0..=2)?);
-                    // Only a server that lives tells when it was born.
-                    let living = store.open().into_iter().find(|one| *one.id == *id);
-                    let birth = living.and_then(|one| one.born);
+                    // Only a live server reports its birth time.
+                    let live = store
+                        .active()
+                        .into_iter()
+                        .find(|incarnation| *incarnation.id == *id);
+                    let birth = live.and_then(|incarnation| incarnation.born);
                     if let (Some(birth), Some(newest)) = (birth, host.newest.get_mut(&id)) {
                         host.directory.observe_birth(&id, birth);
                         *newest = birth.max(*newest);
@@ -377,7 +383,7 @@
             while host.position < store.changes.len() {
                 host.follow(&store, later);
             }
-            assert_eq!(open(&host.directory), store.open());
+            assert_eq!(active(&host.directory), store.active());
         }
         assert_eq!(hosts[0].directory.digest(), hosts[1].directory.digest());
         assert_eq!(hosts[0].directory.digest(), hosts[2].directory.digest());
@@ -385,10 +391,10 @@
     });
 }
 
-/// With the store away, entries lapse and come back; a server that has started again meanwhile is used as soon as its
-/// new entry is there, and its former one is not waited for.
+/// While the store is unavailable, entries lapse and are written again later. A server that has restarted in between is
+/// used as soon as its new entry is written, without waiting for its former one.
 #[test]
-fn a_server_that_started_again_while_the_store_was_away_is_used_in_its_new_lifetime() {
+fn a_server_restarted_during_an_outage_is_used_in_its_new_incarnation() {
     each_seed(200, |u| {
         let (first, second) = (born("a", 1), born("a", 2));
         let mut directory = after(&[ready(&first), ready(&born("b", 1))]);
@@ -402,60 +408,60 @@
         if u.arbitrary()? {
             directory.mark_leaving(first.key(), Time(0));
         }
-        let back = Time::from_millis(9_000);
-        directory.store_returned(back, true);
+        let returned = Time::from_millis(9_000);
+        directory.store_returned(returned, true);
         let mut changes = vec![ready(&second), leaving(&first), ready(&first)];
         while !changes.is_empty() {
             let next = u.int_in_range(0..=changes.len() - 1)?;
             let change = changes.swap_remove(next);
             let is_new = change == ready(&second);
-            directory.apply(change, back);
+            directory.apply(change, returned);
             if is_new {
                 break;
             }
         }
         let rest: Vec<Change> = changes;
         for change in rest {
-            directory.apply(change, back + Duration::from_millis(10));
+            directory.apply(change, returned + Duration::from_millis(10));
         }
-        assert!(!directory.expire(back + Duration::from_secs(60)));
-        assert_eq!(open(&directory), [second, born("b", 1)]);
+        assert!(!directory.expire(returned + Duration::from_secs(60)));
+        assert_eq!(active(&directory), [second, born("b", 1)]);
         Ok(())
     });
 }
 
-/// Whatever is lost, doubled or late of what hosts tell of a former lifetime, the load of the new one is what was placed
-/// there.
+/// Notices about a former incarnation may be lost, duplicated or late. The load of each incarnation is what was
+/// reserved there.
 #[test]
-fn the_load_of_a_lifetime_is_what_was_placed_in_it() {
+fn the_load_of_an_incarnation_is_what_was_reserved_there() {
     each_seed(120, |u| {
-        let lives: Vec<Key> = (1..=4).map(|birth| born("a", birth).key()).collect();
+        let incarnations: Vec<Key> = (1..=4).map(|birth| born("a", birth).key()).collect();
         let mut sender = LoadTable::default();
         let mut receiver = LoadTable::default();
         let mut sent: Vec<Notice> = Vec::new();
-        let mut held = Vec::new();
+        let mut reservations = Vec::new();
         let mut running = [0; 4];
         for sequence in 1..=u.int_in_range(1..=60)? {
-            if !held.is_empty() && u.ratio(1, 3)? {
-                let index = u.int_in_range(0..=held.len() - 1)?;
-                let (life, id): (usize, _) = held.swap_remove(index);
+            if !reservations.is_empty() && u.ratio(1, 3)? {
+                let index = u.int_in_range(0..=reservations.len() - 1)?;
+                let (incarnation, id): (usize, _) = reservations.swap_remove(index);
                 sender.release(id, Time(0));
-                running[life] -= 1;
+                running[incarnation] -= 1;
             } else {
-                let life = u.int_in_range(0..=3)?;
-                let mut placed = hold("a", 1_000, 10);
-                placed.primary = lives[life];
-                held.push((life, sender.reserve(placed, Time(0))));
-                running[life] += 1;
+                let incarnation = u.int_in_range(0..=3)?;
+                let mut reservation = hold("a", 1_000, 10);
+                reservation.primary = incarnations[incarnation];
+                reservations.push((incarnation, sender.reserve(reservation, Time(0))));
+                running[incarnation] += 1;
             }
-            let whole = u.ratio(1, 4)?;
-            let holdings = if whole {
+            let full = u.ratio(1, 4)?;
+            let holdings = if full {
                 sender.all_holdings(Time(0))
             } else {
                 sender.take_changes()
             };
             sent.push(Notice {
-                full: whole,
+                full,
                 holdings,
                 ..empty_notice("h", 1, sequence)
             });
@@ -470,16 +476,16 @@
             ..empty_notice("h", 1, 1_000)
         };
         receiver.apply_notice(&last, Time(0));
-        for (life, running) in lives.iter().zip(running) {
-            assert_eq!(sender.total(*life).running, running);
-            assert_eq!(receiver.total(*life).running, running);
+        for (incarnation, running) in incarnations.iter().zip(running) {
+            assert_eq!(sender.total(*incarnation).running, running);
+            assert_eq!(receiver.total(*incarnation).running, running);
         }
         Ok(())
     });
 }
 
 #[test]
-fn keys_of_all_servers_and_lifetimes_differ() {
+fn keys_of_all_servers_and_incarnations_differ() {
     let mut keys = std::collections::HashSet::new();
     for server in 0..1_200 {
         let id = format!("i-{server:010x}");
--- a/crates/alderglade-core/tests/testsuite/fleet/quarantine.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/quarantine.rs
@@ -99,8 +99,8 @@
     assert!(!host.is_barred("fatal"));
 }
 
-/// Interrupted requests meet again at the server that all hosts rank best, so the innocent one is present at three crashes,
-/// too.
+/// Interrupted requests meet again at the server that all hosts rank best, so the innocent one is present at three
+/// crashes, too.
 #[test]
 fn a_request_beside_a_fatal_one_at_three_crashes_is_not_barred() {
     let mut host = Host::default();
--- a/crates/alderglade-core/tests/testsuite/fleet/quarantine/several.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/quarantine/several.rs
@@ -4,8 +4,8 @@
 use crate::each_seed;
 use std::time::Duration;
 
-/// Of three fatal requests at the same time, one was sent once more than allowed. Two were barred at the fifth crash of all
-/// three and explained the crashes of the third one, which then needed three more of its own: there was no limit to
+/// Of three fatal requests at the same time, one was sent once more than allowed. Two were barred at the fifth crash of
+/// all three and explained the crashes of the third one, which then needed three more of its own: there was no limit to
 /// the crashes that others explain. In the random orders drawn here, each request takes part in a crash or not.
 #[test]
 fn none_of_several_fatal_requests_is_sent_beyond_the_sixth_crash() {
--- a/crates/alderglade-core/tests/testsuite/fleet/restored.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/restored.rs
@@ -1,5 +1,5 @@
-//! A store that is restored from a copy, followed by hosts at different paces. Revisions go back and are assigned again,
-//! and messages between hosts about a former era arrive late, twice, out of order, or never.
+//! A store that is restored from a copy, followed by hosts at different paces. Revisions go back and are assigned
+//! again, and messages between hosts about a former era arrive late, twice, out of order, or never.
 
 use super::{empty_notice, server};
 use crate::each_seed;
