--- a/crates/alderglade-core/src/fleet/fanout.rs
+++ b/crates/alderglade-core/src/fleet/fanout.rs
@@ -54,9 +54,9 @@
 /// The hosts outside the own group that a notice concerns.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Scope {
-    /// All hosts.
+    /// Whether all hosts are concerned.
     pub all: bool,
-    /// All hosts of the own failure domain.
+    /// Whether all hosts of the own failure domain are concerned.
     pub domain: bool,
     /// Groups whose hosts are all concerned.
     pub groups: BTreeSet<Group>,
--- a/crates/alderglade-core/src/fleet/quarantine.rs
+++ b/crates/alderglade-core/src/fleet/quarantine.rs
@@ -112,7 +112,7 @@
     /// Returns how much longer a request is barred, if it is.
     pub fn barred_for(&self, fingerprint: Fingerprint, now: Time) -> Option<Duration> {
         let until = self.barred.get(&fingerprint)?;
-        Some(until.left(now)).filter(|left| !left.is_zero())
+        Some(until.left(now)).filter(|remaining| !remaining.is_zero())
     }
 
     /// Returns the number of barred requests.
@@ -201,16 +201,16 @@
                 self.clear(finding.fingerprint, at, false);
             }
             Fact::Barred { left_s } => {
-                let left = Duration::from_secs(u64::from(left_s)).min(BAR_DURATION);
-                self.bar(finding.fingerprint, left, now);
+                let remaining = Duration::from_secs(u64::from(left_s)).min(BAR_DURATION);
+                self.bar(finding.fingerprint, remaining, now);
             }
         }
     }
 
     /// Applies a bar read from the store, and reports it to the other hosts.
-    pub fn apply_stored_bar(&mut self, fingerprint: Fingerprint, left: Duration, now: Time) {
-        let left = left.min(BAR_DURATION);
-        if self.bar(fingerprint, left, now) {
+    pub fn apply_stored_bar(&mut self, fingerprint: Fingerprint, remaining: Duration, now: Time) {
+        let remaining = remaining.min(BAR_DURATION);
+        if self.bar(fingerprint, remaining, now) {
             self.own_findings
                 .push(OwnFinding::new(fingerprint, Fact::barred(), now));
         }
@@ -227,11 +227,11 @@
     /// are to be stored again, and ones that were released since are to be removed again. All others are barred.
     pub fn restore(&mut self, listed: &[(Fingerprint, Duration)], now: Time) {
         let mut stale = Vec::new();
-        for (fingerprint, left) in listed {
-            if left.is_zero() || self.released.contains_key(fingerprint) {
+        for (fingerprint, remaining) in listed {
+            if remaining.is_zero() || self.released.contains_key(fingerprint) {
                 stale.push(*fingerprint);
             } else {
-                self.apply_stored_bar(*fingerprint, *left, now);
+                self.apply_stored_bar(*fingerprint, *remaining, now);
             }
         }
         let is_listed =
@@ -383,14 +383,14 @@
     }
 
     /// Bars a request. Returns whether it was not barred before and there was room.
-    fn bar(&mut self, fingerprint: Fingerprint, left: Duration, now: Time) -> bool {
-        if left.is_zero()
+    fn bar(&mut self, fingerprint: Fingerprint, remaining: Duration, now: Time) -> bool {
+        if remaining.is_zero()
             || self.barred_for(fingerprint, now).is_some()
             || self.barred.len() >= MAX_BARRED
         {
             return false;
         }
-        self.barred.insert(fingerprint, now + left);
+        self.barred.insert(fingerprint, now + remaining);
         self.released.remove(&fingerprint);
         self.verdicts.push(Verdict {
             fingerprint,
--- a/crates/alderglade-core/src/fleet/quarantine/finding.rs
+++ b/crates/alderglade-core/src/fleet/quarantine/finding.rs
@@ -121,8 +121,8 @@
                 age_ms: millis(age),
             },
             Fact::Barred { .. } => {
-                let left = barred.map_or(Duration::ZERO, |until| until.left(now));
-                let left_s = u32::try_from(left.as_secs()).unwrap_or(u32::MAX);
+                let remaining = barred.map_or(Duration::ZERO, |until| until.left(now));
+                let left_s = u32::try_from(remaining.as_secs()).unwrap_or(u32::MAX);
                 Fact::Barred { left_s }
             }
         };
