--- a/crates/alderglade-platform/src/client.rs
+++ b/crates/alderglade-platform/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the object API, with time limits and a closed list of failures.
+//! HTTP client of the object API, with timeouts and a fixed set of errors.
 
 use crate::object::{Change, Kind, List, Object};
 use serde::Serialize;
@@ -8,81 +8,81 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connecting takes at most this long.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// A call takes at most this long, a watch excepted.
-const CALL_LIMIT: Duration = Duration::from_millis(2_500);
-/// The largest answer that is read.
-const MOST_BYTES: u64 = 64 << 20;
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of a whole call. A watch gets this in addition to its own duration.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Largest response body that is read.
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 
 /// Why a call failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
-    /// There is no such object.
+    /// The object doesn't exist.
     #[snafu(display("no object `{name}` of kind {kind}"))]
     NotFound {
-        /// The kind.
+        /// The object's kind.
         kind: &'static str,
         /// The object's name.
         name: String,
     },
-    /// Another write came first, or the object exists already.
+    /// Another writer changed the object first, or the object to create already exists.
     #[snafu(display("object `{name}` of kind {kind} was changed by another writer"))]
     Conflict {
-        /// The kind.
+        /// The object's kind.
         kind: &'static str,
         /// The object's name.
         name: String,
     },
-    /// The platform refuses calls for now.
-    #[snafu(display("the platform is over its rate or out of service (status {status})"))]
+    /// The platform rejected the call with a status other than 404 and 409, which may be temporary.
+    #[snafu(display("the platform is rate limiting or unavailable (status {status})"))]
     Busy {
         /// The HTTP status.
         status: u16,
     },
-    /// No answer; a write may have taken effect.
-    #[snafu(display("no answer from the platform at {url}: {cause}"))]
+    /// The platform didn't respond; a write may have taken effect.
+    #[snafu(display("no response from the platform at {url}: {cause}"))]
     Lost {
-        /// What was called.
+        /// URL of the call.
         url: String,
-        /// What the HTTP library said.
+        /// Error message of the HTTP client.
         cause: String,
     },
-    /// The answer can't be read.
-    #[snafu(display("the platform's answer from {url} can't be read: {cause}"))]
+    /// The response isn't valid JSON of the expected type.
+    #[snafu(display("invalid response from the platform at {url}: {cause}"))]
     Unreadable {
-        /// What was called.
+        /// URL of the call.
         url: String,
-        /// What is wrong with it.
+        /// Error message of the JSON parser.
         cause: String,
     },
 }
 
-/// Calls the object API at one address.
+/// Client of the object API at one address.
 #[derive(Debug, Clone)]
 pub struct Client {
     base: Arc<str>,
     agent: ureq::Agent,
-    watcher: ureq::Agent,
+    watch_agent: ureq::Agent,
 }
 
 impl Client {
-    /// Makes a client for the platform at `address`, an IP number and port.
+    /// Creates a client for the platform at `address`, an IP address and port.
     pub fn new(address: &str) -> Client {
-        let calls = ureq::Agent::config_builder()
+        let call_config = ureq::Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_connect(Some(CONNECT_LIMIT))
-            .timeout_global(Some(CALL_LIMIT))
+            .timeout_connect(Some(CONNECT_TIMEOUT))
+            .timeout_global(Some(CALL_TIMEOUT))
             .build();
-        let watches = ureq::Agent::config_builder()
+        let watch_config = ureq::Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_connect(Some(CONNECT_LIMIT))
+            .timeout_connect(Some(CONNECT_TIMEOUT))
             .build();
         Client {
             base: format!("http://{address}").into(),
-            agent: calls.into(),
-            watcher: watches.into(),
+            agent: call_config.into(),
+            watch_agent: watch_config.into(),
         }
     }
 
@@ -101,18 +101,18 @@
     ///
     /// # Errors
     ///
-    /// [`Error::NotFound`] where there is none; the others where there is no answer.
+    /// Returns [`Error::NotFound`] if the object doesn't exist, or another error if the call fails.
     pub fn get<T: DeserializeOwned>(&self, kind: Kind, name: &str) -> Result<Object<T>, Error> {
         let url = self.url(kind, name);
-        let answer = self.agent.get(&url).call();
-        read(answer, &url, kind, name)
+        let response = self.agent.get(&url).call();
+        read(response, &url, kind, name)
     }
 
-    /// Lists the objects of a kind, those with a label if one is given.
+    /// Lists the objects of a kind, only those with the label if one is given.
     ///
     /// # Errors
     ///
-    /// Where there is no answer.
+    /// Returns an error if the call to the platform fails.
     pub fn list<T: DeserializeOwned>(
         &self,
         kind: Kind,
@@ -127,23 +127,23 @@
         Ok(list.items)
     }
 
-    /// Writes an object: creates it where it has no version, else updates that very version.
+    /// Writes an object: creates it if it has no version, otherwise updates exactly that version.
     ///
-    /// Gives the object with its new version.
+    /// Returns the object with its new version.
     ///
     /// # Errors
     ///
-    /// [`Error::Conflict`] where another write came first; [`Error::Lost`] where there is no
-    /// answer and the write may have taken effect.
+    /// Returns [`Error::Conflict`] if another writer was first, and [`Error::Lost`] if the platform
+    /// didn't respond and the write may have taken effect.
     pub fn write<T: Serialize + DeserializeOwned>(
         &self,
         kind: Kind,
         object: &Object<T>,
     ) -> Result<Object<T>, Error> {
         let name = &object.metadata.name;
-        let fresh = object.metadata.resource_version.is_empty();
-        let url = self.url(kind, if fresh { "" } else { name });
-        let call = if fresh {
+        let is_new = object.metadata.resource_version.is_empty();
+        let url = self.url(kind, if is_new { "" } else { name });
+        let call = if is_new {
             self.agent.post(&url)
         } else {
             self.agent.put(&url)
@@ -151,47 +151,47 @@
         read(call.send_json(object), &url, kind, name)
     }
 
-    /// Waits for changes of a kind that are newer than a version and hands each to `take`, until
-    /// the platform ends the watch or `take` says false.
+    /// Watches for changes of a kind that are newer than `version` and passes each to `on_change`,
+    /// until the platform ends the watch or `on_change` returns false.
     ///
     /// # Errors
     ///
-    /// Where the watch can't be started or breaks.
+    /// Returns an error if the watch can't be started or its connection breaks.
     pub fn watch<T: DeserializeOwned>(
         &self,
         kind: Kind,
         version: u64,
-        limit: Duration,
-        mut take: impl FnMut(Change<T>) -> bool,
+        duration: Duration,
+        mut on_change: impl FnMut(Change<T>) -> bool,
     ) -> Result<(), Error> {
         let url = self.url(kind, "");
-        let answer = self
-            .watcher
+        let response = self
+            .watch_agent
             .get(&url)
             .query("watch", "1")
             .query("resourceVersion", version.to_string())
-            .query("timeoutSeconds", limit.as_secs().to_string())
+            .query("timeoutSeconds", duration.as_secs().to_string())
             .config()
-            .timeout_global(Some(limit + CALL_LIMIT))
+            .timeout_global(Some(duration + CALL_TIMEOUT))
             .build()
             .call();
-        let mut answer = answer.map_err(|cause| lost(&url, &cause))?;
-        check(answer.status().as_u16(), kind, "")?;
-        let lines = BufReader::new(answer.body_mut().as_reader()).lines();
+        let mut response = response.map_err(|cause| lost(&url, &cause))?;
+        check_status(response.status().as_u16(), kind, "")?;
+        let lines = BufReader::new(response.body_mut().as_reader()).lines();
         for line in lines {
             let line = line.map_err(|cause| Error::Lost {
                 url: url.clone(),
                 cause: cause.to_string(),
             })?;
             let change = serde_json::from_str(&line).map_err(|cause| unreadable(&url, &cause))?;
-            if !take(change) {
+            if !on_change(change) {
                 break;
             }
         }
         Ok(())
     }
 
-    /// Reads the platform's own list at a path.
+    /// Reads the platform's list of nodes at `path`.
     pub(crate) fn get_path<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         let url = format!("{}{path}", self.base);
         let nodes = Kind {
@@ -202,22 +202,22 @@
     }
 }
 
-type Answer = Result<ureq::http::Response<ureq::Body>, ureq::Error>;
+type CallResult = Result<ureq::http::Response<ureq::Body>, ureq::Error>;
 
 fn read<T: DeserializeOwned>(
-    answer: Answer,
+    response: CallResult,
     url: &str,
     kind: Kind,
     name: &str,
 ) -> Result<T, Error> {
-    let mut answer = answer.map_err(|cause| lost(url, &cause))?;
-    check(answer.status().as_u16(), kind, name)?;
-    let body = answer.body_mut().with_config().limit(MOST_BYTES);
+    let mut response = response.map_err(|cause| lost(url, &cause))?;
+    check_status(response.status().as_u16(), kind, name)?;
+    let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES);
     let text = body.read_to_string().map_err(|cause| lost(url, &cause))?;
     serde_json::from_str(&text).map_err(|cause| unreadable(url, &cause))
 }
 
-fn check(status: u16, kind: Kind, name: &str) -> Result<(), Error> {
+fn check_status(status: u16, kind: Kind, name: &str) -> Result<(), Error> {
     match status {
         200..=299 => Ok(()),
         404 => NotFoundSnafu {
--- a/crates/alderglade-platform/src/hosts.rs
+++ b/crates/alderglade-platform/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's list of hosts. It lags behind reality and only seeds the hosts' own view.
+//! The platform's list of hosts. It may be outdated and only seeds the hosts' own membership view.
 
 use crate::client::{Client, Error};
 use crate::object::List;
@@ -6,51 +6,51 @@
 use alderglade_core::membership::Card;
 use serde::{Deserialize, Serialize};
 
-/// The label that tells entry hosts from backend servers.
+/// Label that distinguishes entry hosts from backend servers.
 pub const ROLE: &str = "alderglade.io/role";
-/// The role of entry hosts.
+/// Value of [`ROLE`] for entry hosts.
 pub const ENTRY: &str = "entry";
-/// The label of the failure domain.
+/// Label with a host's failure domain.
 pub const DOMAIN: &str = "topology.kubernetes.io/zone";
-/// The annotation with an entry host's address for other entry hosts.
+/// Annotation with the address at which other entry hosts reach an entry host.
 pub const ADDRESS: &str = "alderglade.io/peer-address";
 
-/// The annotation with an entry host's address for operators.
+/// Annotation with the address at which operators reach an entry host.
 pub const OPERATOR: &str = "alderglade.io/operator-address";
 
-/// Where operators reach an entry host.
+/// An entry host and its address for operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Operated {
-    /// The host.
+    /// Name of the host.
     pub name: Name,
-    /// Its address for operators: IP number and port.
+    /// Address for operators: IP address and port.
     pub address: String,
 }
 
-/// What the list says of a host beside its name and labels.
+/// Content of a host's list entry, apart from its name and labels.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Spec {
-    /// Whether the host is leaving and shall get nothing new.
+    /// Whether the host is leaving and must not receive new work.
     pub unschedulable: bool,
 }
 
-/// The list, split by what it is used for.
+/// The list of hosts, split by use.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Hosts {
     /// The entry hosts.
     pub entries: Vec<Card>,
-    /// Where operators reach the entry hosts.
+    /// Addresses of the entry hosts for operators.
     pub operated: Vec<Operated>,
     /// Backend servers that are leaving.
     pub leaving: Vec<Name>,
 }
 
-/// Reads the list.
+/// Reads the platform's list of hosts.
 ///
 /// # Errors
 ///
-/// Where there is no answer.
+/// Returns an error if the call to the platform fails.
 pub fn list(client: &Client) -> Result<Hosts, Error> {
     let list: List<Spec> = client.get_path("/api/v1/nodes")?;
     let mut hosts = Hosts::default();
--- a/crates/alderglade-platform/src/lease.rs
+++ b/crates/alderglade-platform/src/lease.rs
@@ -1,14 +1,14 @@
-//! The lease for giving orders as an object.
+//! Storage of the order lease as an object of the platform.
 
 use crate::client::{Client, Error};
 use crate::object::{LEASE, Object};
 use alderglade_core::lease::{Record, Versioned};
 
-/// Reads the lease of a failure domain; one that isn't there yet has version `0`.
+/// Reads the lease of a failure domain; a lease that doesn't exist yet has version `0`.
 ///
 /// # Errors
 ///
-/// Where the platform gives no answer.
+/// Returns an error if the call to the platform fails.
 pub fn read(client: &Client, domain: &str) -> Result<Versioned, Error> {
     match client.get::<Record>(LEASE, domain) {
         Ok(object) => Ok(versioned(object)),
@@ -17,11 +17,11 @@
     }
 }
 
-/// Writes the lease if it still has its version.
+/// Writes the lease if the stored one still has `lease.version`; returns it with its new version.
 ///
 /// # Errors
 ///
-/// [`Error::Conflict`] where another host was first; others where the outcome is unknown.
+/// Returns [`Error::Conflict`] if another host was first, or another error if the outcome is unknown.
 pub fn write(client: &Client, domain: &str, lease: Versioned) -> Result<Versioned, Error> {
     let mut object = Object::new(LEASE, domain, lease.record);
     if lease.version > 0 {
--- a/crates/alderglade-platform/src/lib.rs
+++ b/crates/alderglade-platform/src/lib.rs
@@ -1,9 +1,9 @@
-//! The platform's service as alderglade meets it: an object API and a list of hosts.
+//! Client of the platform's service: an object API and a list of hosts.
 //!
-//! The protocol is the published one of the Kubernetes API conventions, as far as it is needed:
-//! objects with `metadata.resourceVersion`, conditional `PUT`, `POST` that fails where the object
-//! exists, label selectors, and watches as a stream of JSON lines. Each call is one request on the
-//! platform's account; a waiting watch counts as one.
+//! The protocol is the subset of the Kubernetes API conventions that alderglade needs: objects with
+//! `metadata.resourceVersion`, conditional `PUT`, `POST` that fails if the object exists, label
+//! selectors, and watches as a stream of JSON lines. The platform accounts each call as one request;
+//! an open watch counts as one.
 
 pub mod client;
 pub mod hosts;
--- a/crates/alderglade-platform/src/object.rs
+++ b/crates/alderglade-platform/src/object.rs
@@ -1,49 +1,49 @@
-//! The shape of objects in the platform.
+//! Data types of the platform's objects.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The API group and version of alderglade's own kinds.
+/// API group and version of alderglade's own kinds.
 pub const API_VERSION: &str = "alderglade.io/v1";
 
-/// What the platform keeps beside an object's content.
+/// Metadata that the platform stores with an object's content.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Metadata {
-    /// The object's name within its kind.
+    /// Name of the object, unique within its kind.
     pub name: String,
-    /// The version that the platform gave the last write; empty before the first.
+    /// Version that the platform assigned at the last write; empty before the first.
     pub resource_version: String,
-    /// Labels that a list can select by.
+    /// Labels that a list call can select by.
     pub labels: BTreeMap<String, String>,
-    /// Further notes.
+    /// Values that a list call can't select by.
     pub annotations: BTreeMap<String, String>,
 }
 
-/// An object of the platform.
+/// An object stored in the platform.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Object<T> {
-    /// The API group and version.
+    /// API group and version, normally [`API_VERSION`].
     #[serde(default)]
     pub api_version: String,
-    /// The kind.
+    /// Name of the object's kind: [`Kind::name`].
     #[serde(default)]
     pub kind: String,
-    /// What the platform keeps beside the content.
+    /// Metadata that the platform stores with the content.
     pub metadata: Metadata,
-    /// The content.
+    /// Content of the object.
     pub spec: T,
 }
 
-/// A list of objects.
+/// Response of a list call.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct List<T> {
-    /// The objects.
+    /// Objects of the requested kind.
     pub items: Vec<Object<T>>,
 }
 
-/// One line of a watch.
+/// One line of a watch response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change<T> {
     /// `ADDED`, `MODIFIED` or `DELETED`.
@@ -53,43 +53,43 @@
     pub object: Object<T>,
 }
 
-/// A kind of object: its name in paths and in objects.
+/// A kind of object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Kind {
-    /// The plural in paths.
+    /// Plural name, used in URL paths.
     pub plural: &'static str,
-    /// The name in objects.
+    /// Name, used in the objects themselves.
     pub name: &'static str,
 }
 
-/// The one object that says which settings are in force.
+/// Kind of the single object that names the settings in force.
 pub const ROOT: Kind = Kind {
     plural: "settingsroots",
     name: "SettingsRoot",
 };
-/// Immutable parts of settings, named by their digest.
+/// Kind of immutable parts of settings, named by their digest.
 pub const PART: Kind = Kind {
     plural: "settingsparts",
     name: "SettingsPart",
 };
-/// Segments of the ledger.
+/// Kind of ledger segments.
 pub const SEGMENT: Kind = Kind {
     plural: "ledgersegments",
     name: "LedgerSegment",
 };
-/// Leases for giving orders.
+/// Kind of the leases for sending orders, one for each failure domain.
 pub const LEASE: Kind = Kind {
     plural: "orderleases",
     name: "OrderLease",
 };
-/// Counts against the service-level objectives.
+/// Kind of the counts against the service-level objectives, one object for each entry host.
 pub const LOG: Kind = Kind {
     plural: "slologs",
     name: "SloLog",
 };
 
 impl<T> Object<T> {
-    /// Makes an object that the platform doesn't know yet.
+    /// Creates an object without a version, which isn't stored in the platform yet.
     pub fn new(kind: Kind, name: &str, spec: T) -> Object<T> {
         Object {
             api_version: API_VERSION.into(),
@@ -102,9 +102,9 @@
         }
     }
 
-    /// Gives the version as a number, `0` where there is none.
+    /// Returns the version as a number, or `0` if there is none.
     ///
-    /// The platform's contract makes versions opaque; alderglade only compares them for equality
+    /// Versions are opaque by the platform's contract: alderglade only compares them for equality
     /// and sends them back.
     pub fn version(&self) -> u64 {
         self.metadata.resource_version.parse().unwrap_or(0)
--- a/crates/alderglade-platform/src/settings.rs
+++ b/crates/alderglade-platform/src/settings.rs
@@ -1,8 +1,8 @@
-//! Settings in the platform: immutable parts named by digest, and one root that names them.
+//! Storage of settings in the platform: immutable parts named by digest, and a root that lists them.
 //!
-//! Applying writes the parts first and the root last, by conditional update. The root carries a
-//! write token: an operator whose answer was lost reads the root back and sees by the token
-//! whether the own write took effect. The revision only grows.
+//! Applying settings writes the parts first and the root last, by conditional update. The root
+//! contains a write token: after a lost response an operator reads the root back and determines
+//! from the token whether its own write took effect. The revision only grows.
 
 use crate::client::{Client, Error};
 use crate::object::{Object, PART, ROOT};
@@ -14,51 +14,51 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The root's name; there is one.
+/// Name of the root, of which there is exactly one.
 pub const ROOT_NAME: &str = "root";
-/// Workspaces are spread over this many parts, so that one change moves little.
-const PARTS: u64 = 64;
-/// After a lost answer the root is read back this often.
-const READ_BACKS: u32 = 10;
-/// Pause before the root is read back again.
-const READ_BACK_PAUSE: Duration = Duration::from_millis(300);
+/// Number of parts that workspaces are spread over, so that a change transfers little data.
+const WORKSPACE_PARTS: u64 = 64;
+/// Maximum number of attempts to write the root, each followed by reading it back.
+const ROOT_WRITE_ATTEMPTS: u32 = 10;
+/// Pause between two attempts to write the root.
+const ROOT_WRITE_PAUSE: Duration = Duration::from_millis(300);
 
-/// The content of the root.
+/// Content of the root.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Root {
-    /// Grows by one with each accepted change.
+    /// Number of the accepted change, increased by one with each.
     pub revision: u64,
-    /// The writer's token.
+    /// Token of the operator whose write created this revision.
     pub token: String,
-    /// Digests of the parts.
+    /// Digests of the parts that form the tree.
     pub parts: Vec<String>,
 }
 
-/// One part of the tree.
+/// One part of the settings tree.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Part {
-    /// The fleet's branch, in one part only.
+    /// Settings of the fleet; exactly one part has them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fleet: Option<Fleet>,
-    /// Some of the workspaces.
+    /// Settings of a subset of the workspaces.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub workspaces: BTreeMap<Name, Workspace>,
 }
 
-/// Parts read before, by digest, so that a change fetches only what changed.
+/// Cache of parts by digest, so that after a change only the changed parts are fetched.
 #[derive(Debug, Default)]
 pub struct Cache {
     parts: BTreeMap<String, Part>,
 }
 
-/// How applying ended.
+/// Outcome of [`apply`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum Applied {
-    /// It is accepted under this revision.
+    /// The tree was accepted as this revision.
     Accepted(u64),
-    /// It is the same as what is in force.
+    /// The tree is identical to the one in force, which has this revision.
     Unchanged(u64),
-    /// Another operator was first; this revision is in force.
+    /// Another operator applied a change first; this revision is in force.
     Conflict(u64),
 }
 
@@ -66,7 +66,7 @@
 ///
 /// # Errors
 ///
-/// Where the platform gives no answer.
+/// Returns an error if the call to the platform fails.
 pub fn root(client: &Client) -> Result<Object<Root>, Error> {
     match client.get::<Root>(ROOT, ROOT_NAME) {
         Ok(root) => Ok(root),
@@ -75,11 +75,11 @@
     }
 }
 
-/// Reads the whole tree that a root names.
+/// Reads the complete tree that a root refers to.
 ///
 /// # Errors
 ///
-/// Where the platform gives no answer or a part is missing.
+/// Returns an error if the call to the platform fails or a part is missing.
 pub fn tree(client: &Client, root: &Root, cache: &mut Cache) -> Result<Tree, Error> {
     let mut parts = BTreeMap::new();
     for digest in &root.parts {
@@ -93,11 +93,11 @@
     Ok(join(root.revision, cache.parts.values()))
 }
 
-/// Applies a tree in place of the revision that `base` names.
+/// Replaces the revision of `base` by `tree`.
 ///
 /// # Errors
 ///
-/// Where the platform gives no answer, even after reading back.
+/// Returns an error if a call to the platform fails; for the root, if all attempts failed.
 pub fn apply(
     client: &Client,
     base: &Object<Root>,
@@ -123,32 +123,32 @@
     write_root(client, &next)
 }
 
-/// Writes the root until it is known whether this write took effect.
+/// Writes the root, retrying until it is known whether this write took effect.
 ///
-/// After a lost answer the root is read back. Where it still is the old one the same conditional
-/// write is sent again: if the lost one arrives late, one of the two meets a conflict and the
-/// token tells whose content is in force.
+/// After a lost response the root is read back. If it is still the old one, the same conditional
+/// write is sent again: if the lost one arrives late, one of the two fails with a conflict, and the
+/// token shows whose content is in force.
 fn write_root(client: &Client, next: &Object<Root>) -> Result<Applied, Error> {
-    let mut last = None;
-    for _ in 0..READ_BACKS {
+    let mut last_error = None;
+    for _ in 0..ROOT_WRITE_ATTEMPTS {
         match client.write(ROOT, next) {
             Ok(root) => return Ok(Applied::Accepted(root.spec.revision)),
             Err(Error::NotFound { kind, name }) => return Err(Error::NotFound { kind, name }),
-            Err(error) => last = Some(error),
+            Err(error) => last_error = Some(error),
         }
         match root(client) {
-            Ok(found) if found.spec.token == next.spec.token => {
-                return Ok(Applied::Accepted(found.spec.revision));
+            Ok(stored) if stored.spec.token == next.spec.token => {
+                return Ok(Applied::Accepted(stored.spec.revision));
             }
-            Ok(found) if found.spec.revision >= next.spec.revision => {
-                return Ok(Applied::Conflict(found.spec.revision));
+            Ok(stored) if stored.spec.revision >= next.spec.revision => {
+                return Ok(Applied::Conflict(stored.spec.revision));
             }
             Ok(_) => {}
-            Err(error) => last = Some(error),
+            Err(error) => last_error = Some(error),
         }
-        std::thread::sleep(READ_BACK_PAUSE);
+        std::thread::sleep(ROOT_WRITE_PAUSE);
     }
-    match last {
+    match last_error {
         Some(error) => Err(error),
         None => Ok(Applied::Conflict(next.spec.revision)),
     }
@@ -179,7 +179,7 @@
 
 fn group_of(name: &str) -> u64 {
     let digest = Sha256::digest(name.as_bytes());
-    u64::from(digest[0]) % PARTS
+    u64::from(digest[0]) % WORKSPACE_PARTS
 }
 
 fn digest(part: &Part) -> String {
@@ -198,7 +198,7 @@
         }
         let workspaces = part.workspaces.iter();
         tree.workspaces
-            .extend(workspaces.map(|(name, w)| (name.clone(), w.clone())));
+            .extend(workspaces.map(|(name, workspace)| (name.clone(), workspace.clone())));
     }
     tree
 }
--- a/crates/alderglade-platform/src/slo.rs
+++ b/crates/alderglade-platform/src/slo.rs
@@ -1,17 +1,18 @@
-//! Counts against the objectives as objects, one for each entry host.
+//! Storage of the counts against the service-level objectives, one object for each entry host.
 
 use crate::client::{Client, Error};
 use crate::object::{LOG, Object};
 use alderglade_core::slo::Log;
 
-/// Publishes a host's counts over the version that the last publication gave, empty for none.
+/// Publishes a host's counts in place of `version`, which the last publication returned (empty if
+/// there was none), and returns the new version.
 ///
-/// The host is the only writer of its object; a version that doesn't fit, after a restart or a lost
-/// answer, is read once. Gives the new version.
+/// The host is the only writer of its object. After a restart or a lost response `version` may be
+/// outdated; the current one is then read once, and the write is retried.
 ///
 /// # Errors
 ///
-/// Where the platform gives no answer; the next publication carries the counts again.
+/// Returns an error if the call to the platform fails; the next publication contains the counts again.
 pub fn publish(client: &Client, host: &str, log: Log, version: &str) -> Result<String, Error> {
     let mut object = Object::new(LOG, host, log);
     object.metadata.resource_version = version.into();
@@ -29,17 +30,19 @@
     written.map(|object| object.metadata.resource_version)
 }
 
-/// Reads what all hosts published.
+/// Reads the published counts of all hosts.
 ///
 /// # Errors
 ///
-/// Where the platform gives no answer.
+/// Returns an error if the call to the platform fails.
 pub fn read_all(client: &Client) -> Result<Vec<Log>, Error> {
     let objects = client.list::<Log>(LOG, None)?;
     Ok(objects.into_iter().map(|object| object.spec).collect())
 }
 
-/// Reads what one host published earlier, so that a new process goes on counting.
+/// Reads the counts that one host published earlier, so that a new process continues from them.
+///
+/// Returns `None` if there are none or the call to the platform fails.
 pub fn read_own(client: &Client, host: &str) -> Option<Log> {
     client.get::<Log>(LOG, host).ok().map(|object| object.spec)
 }
