--- a/crates/alderglade-backend/src/engine.rs
+++ b/crates/alderglade-backend/src/engine.rs
@@ -1,4 +1,4 @@
-//! Calls to one model engine, each with its time limits.
+//! HTTP client of one model engine, with a timeout for each call.
 
 use crate::wire::{
     Completion, Confirmed, Export, Order, Prefill, Reason, Refusal, Requests, Reserve,
@@ -10,51 +10,51 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connecting takes at most this long.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// A call that isn't a stream takes at most this long.
-const CALL_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout of a call whose response isn't streamed, other than a prefill.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why a call to an engine failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// No connection: nothing was sent.
+    /// The connection failed, so nothing was sent.
     #[snafu(display("engine at {address} can't be reached: {cause}"))]
     Unreached {
-        /// The engine's address.
+        /// Address of the engine.
         address: Arc<str>,
-        /// What the HTTP library said.
+        /// Error message of the HTTP client.
         cause: String,
     },
-    /// The engine said no, and for which reason.
+    /// The engine refused the call.
     #[snafu(display("engine at {address} refused: {reason:?}"))]
     Refused {
-        /// The engine's address.
+        /// Address of the engine.
         address: Arc<str>,
-        /// Its reason.
+        /// The engine's reason; [`Reason::Failed`] if its response doesn't contain one.
         reason: Reason,
     },
-    /// Contact was lost after sending.
+    /// The connection broke or timed out after the call may have been sent, or the response is invalid.
     #[snafu(display("contact with engine at {address} was lost: {cause}"))]
     Lost {
-        /// The engine's address.
+        /// Address of the engine.
         address: Arc<str>,
-        /// What the HTTP library said.
+        /// Error message of the HTTP client.
         cause: String,
     },
 }
 
-/// How long an answer may take.
+/// Timeouts of a streamed response.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// The whole answer.
+    /// Maximum duration of the whole response.
     pub whole: Duration,
-    /// A pause without a token; it covers the prefill, too.
+    /// Maximum pause without a token, including the one for the prefill before the first token.
     pub pause: Duration,
 }
 
-/// Calls one engine.
+/// Client of one engine.
 #[derive(Debug, Clone)]
 pub struct Client {
     address: Arc<str>,
@@ -62,12 +62,12 @@
 }
 
 impl Client {
-    /// Makes a client for the engine at `address`, an IP number and port.
+    /// Creates a client for the engine at `address`, an IP address and port.
     pub fn new(address: &str) -> Client {
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_connect(Some(CONNECT_LIMIT))
-            .max_idle_connections_per_host(MOST_IDLE)
+            .timeout_connect(Some(CONNECT_TIMEOUT))
+            .max_idle_connections_per_host(MAX_IDLE_CONNECTIONS)
             .build();
         Client {
             address: address.into(),
@@ -75,83 +75,85 @@
         }
     }
 
-    /// Gives the engine's address.
+    /// Returns the engine's address.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Starts an answer; its lines are read from what this gives.
+    /// Starts a completion and returns the response body, which streams one [`Line`] at a time.
     ///
-    /// `limits` bound the whole answer and each pause in it.
+    /// `limits` bound the whole response and each pause in it.
+    ///
+    /// [`Line`]: crate::wire::Line
     ///
     /// # Errors
     ///
-    /// Where the engine can't be reached, refuses, or is lost before its first byte.
+    /// Returns an error if the engine can't be reached, refuses, or disconnects before its first byte.
     pub fn complete(&self, body: &Completion, limits: Limits) -> Result<ureq::Body, Error> {
         let call = self.agent.post(self.url("completions")).config();
-        let answer = call
+        let response = call
             .timeout_global(Some(limits.whole))
             .timeout_per_read(Some(limits.pause))
             .build()
             .send_json(body);
-        Ok(self.check(answer)?.into_body())
+        Ok(self.check_response(response)?.into_body())
     }
 
-    /// Reserves memory.
+    /// Reserves KV memory for a request.
     ///
     /// # Errors
     ///
-    /// Where the engine has no room or gives no answer.
+    /// Returns an error if the engine doesn't have enough free memory or doesn't respond.
     pub fn reserve(&self, body: &Reserve) -> Result<(), Error> {
-        self.post("reserve", body, CALL_LIMIT).map(drop)
+        self.post("reserve", body, CALL_TIMEOUT).map(drop)
     }
 
-    /// Renews what requests hold.
+    /// Renews the leases of the memory that requests hold.
     ///
     /// # Errors
     ///
-    /// Where the engine gives no answer.
+    /// Returns an error if the engine doesn't respond.
     pub fn renew(&self, body: &Requests) -> Result<Confirmed, Error> {
-        self.call("renew", body, CALL_LIMIT)
+        self.call("renew", body, CALL_TIMEOUT)
     }
 
-    /// Stops requests and frees what they hold; the engine confirms.
+    /// Stops requests and frees the memory that they hold; returns the engine's confirmation.
     ///
     /// # Errors
     ///
-    /// Where the engine gives no answer; the call may be repeated.
+    /// Returns an error if the engine doesn't respond; the call may be retried.
     pub fn cancel(&self, body: &Requests) -> Result<Confirmed, Error> {
-        self.call("cancel", body, CALL_LIMIT)
+        self.call("cancel", body, CALL_TIMEOUT)
     }
 
-    /// Prefills a part of a prompt.
+    /// Prefills one part of a prompt and returns a handle to the exported KV cache.
     ///
     /// # Errors
     ///
-    /// Where the engine refuses or is lost.
-    pub fn prefill(&self, body: &Prefill, limit: Duration) -> Result<Export, Error> {
-        self.call("prefill", body, limit)
+    /// Returns an error if the engine refuses or the connection fails.
+    pub fn prefill(&self, body: &Prefill, timeout: Duration) -> Result<Export, Error> {
+        self.call("prefill", body, timeout)
     }
 
-    /// Gives an order.
+    /// Sends an order.
     ///
     /// # Errors
     ///
-    /// Where the engine refuses an old epoch or gives no answer.
+    /// Returns an error if the engine refuses the order for its old epoch or doesn't respond.
     pub fn order(&self, body: &Order) -> Result<(), Error> {
-        self.post("orders", body, CALL_LIMIT).map(drop)
+        self.post("orders", body, CALL_TIMEOUT).map(drop)
     }
 
-    /// Fetches the engine's report of its load.
+    /// Fetches the engine's load report.
     ///
     /// # Errors
     ///
-    /// Where the engine gives no answer.
+    /// Returns an error if the engine doesn't respond.
     pub fn load(&self) -> Result<Report, Error> {
         let url = self.url("load");
         let call = self.agent.get(&url).config();
-        let answer = call.timeout_global(Some(CALL_LIMIT)).build().call();
-        self.read(self.check(answer)?)
+        let response = call.timeout_global(Some(CALL_TIMEOUT)).build().call();
+        self.parse_body(self.check_response(response)?)
     }
 
     fn url(&self, path: &str) -> String {
@@ -162,22 +164,27 @@
         &self,
         path: &str,
         body: &impl Serialize,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<T, Error> {
-        self.read(self.post(path, body, limit)?)
+        self.parse_body(self.post(path, body, timeout)?)
     }
 
-    fn post(&self, path: &str, body: &impl Serialize, limit: Duration) -> Result<Response, Error> {
+    fn post(
+        &self,
+        path: &str,
+        body: &impl Serialize,
+        timeout: Duration,
+    ) -> Result<Response, Error> {
         let call = self.agent.post(self.url(path)).config();
-        let answer = call.timeout_global(Some(limit)).build().send_json(body);
-        self.check(answer)
+        let response = call.timeout_global(Some(timeout)).build().send_json(body);
+        self.check_response(response)
     }
 
-    fn check(&self, answer: Result<Response, ureq::Error>) -> Result<Response, Error> {
+    fn check_response(&self, response: Result<Response, ureq::Error>) -> Result<Response, Error> {
         let address = self.address.clone();
-        let answer = match answer {
-            Ok(answer) => answer,
-            Err(cause) if is_unsent(&cause) => {
+        let response = match response {
+            Ok(response) => response,
+            Err(cause) if failed_before_send(&cause) => {
                 let cause = cause.to_string();
                 return UnreachedSnafu { address, cause }.fail();
             }
@@ -186,31 +193,34 @@
                 return LostSnafu { address, cause }.fail();
             }
         };
-        if answer.status().is_success() {
-            return Ok(answer);
+        if response.status().is_success() {
+            return Ok(response);
         }
-        let reason = match self.read::<Refusal>(answer) {
+        let reason = match self.parse_body::<Refusal>(response) {
             Ok(refusal) => refusal.reason,
             Err(_) => Reason::Failed,
         };
         RefusedSnafu { address, reason }.fail()
     }
 
-    fn read<T: DeserializeOwned>(&self, mut answer: Response) -> Result<T, Error> {
-        answer.body_mut().read_json().map_err(|cause| Error::Lost {
-            address: self.address.clone(),
-            cause: cause.to_string(),
-        })
+    fn parse_body<T: DeserializeOwned>(&self, mut response: Response) -> Result<T, Error> {
+        response
+            .body_mut()
+            .read_json()
+            .map_err(|cause| Error::Lost {
+                address: self.address.clone(),
+                cause: cause.to_string(),
+            })
     }
 }
 
-/// Connections kept open to one engine.
-const MOST_IDLE: usize = 32;
+/// Maximum number of idle connections kept open to one engine.
+const MAX_IDLE_CONNECTIONS: usize = 32;
 
 type Response = ureq::http::Response<ureq::Body>;
 
-/// Says whether a call failed before anything can have reached the other side.
-pub(crate) fn is_unsent(error: &ureq::Error) -> bool {
+/// Returns whether a call failed before any of it can have reached the server.
+pub(crate) fn failed_before_send(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound => true,
         ureq::Error::Timeout(ureq::Timeout::Connect | ureq::Timeout::Resolve) => true,
--- a/crates/alderglade-backend/src/gang.rs
+++ b/crates/alderglade-backend/src/gang.rs
@@ -1,8 +1,8 @@
-//! Takes a prompt bigger than one engine through the members of a gang.
+//! Runs a prompt that is too long for one engine on a gang of engines.
 //!
-//! Each member prefills its part on top of the KV cache that the member before has exported; the
-//! last one imports it all and generates. Memory is reserved at all members already; whoever runs
-//! the request renews it.
+//! Each member prefills its part on top of the KV cache that the previous member exported; the last
+//! one imports the whole cache and generates. Memory must have been reserved at all members; the
+//! caller renews the reservations while the request runs.
 
 use crate::engine::Client;
 use crate::stream::{self, End};
@@ -11,33 +11,34 @@
 use alderglade_core::request::Id;
 use std::time::Duration;
 
-/// A prompt on its way through a gang.
+/// A prompt that runs on a gang.
 #[derive(Debug, Clone)]
 pub struct Prompt {
-    /// The request.
+    /// Id of the request.
     pub request: Id,
     /// The entry host that runs it.
     pub holder: Name,
-    /// Its length in tokens.
+    /// Length of the prompt in tokens.
     pub tokens: u64,
 }
 
-/// Prefills all parts but the last; gives the last member's import.
+/// Prefills all parts but the last and returns the handle of the KV cache that the last member imports
+/// (`None` if the gang has only one member).
 ///
-/// `left` gives the time that remains; each call is bounded by it.
+/// `time_left` returns the remaining time of the request, which is the timeout of each call.
 ///
 /// # Errors
 ///
-/// How the try ended with the first member that didn't serve.
+/// Returns how the attempt ended if a member refuses or fails; later members aren't called.
 pub fn prefill(
     members: &[Client],
     prompt: &Prompt,
-    left: impl Fn() -> Duration,
+    time_left: impl Fn() -> Duration,
 ) -> Result<Option<String>, End> {
     let part = part_of(prompt.tokens, members.len());
     let mut import = None;
-    let before_last = members.len().saturating_sub(1);
-    for (position, member) in members.iter().take(before_last).enumerate() {
+    let prefill_members = members.len().saturating_sub(1);
+    for (position, member) in members.iter().take(prefill_members).enumerate() {
         let body = Prefill {
             request: prompt.request,
             holder: prompt.holder.clone(),
@@ -45,17 +46,17 @@
             import: import.take(),
         };
         let begun = position > 0;
-        let export = member.prefill(&body, left());
+        let export = member.prefill(&body, time_left());
         let export = export.map_err(|error| end_of(stream::refused(&error), begun))?;
         import = Some(export.handle);
     }
     Ok(import)
 }
 
-/// Says how a try ended at one member of a gang.
+/// Returns how an attempt on a gang ended, given how the call to one member ended.
 ///
-/// Once an earlier member has begun, a later one's word that it didn't start doesn't mean that
-/// the request didn't run.
+/// `begun` is whether an earlier member has started. In that case the request has run in part, even
+/// if this member reports that it didn't start.
 pub fn end_of(end: End, begun: bool) -> End {
     match end {
         End::NoRoom | End::Leaving | End::Unreached if begun => End::Broke,
@@ -63,13 +64,13 @@
     }
 }
 
-/// Gives the tokens that each member but the last prefills.
+/// Returns the number of tokens that each member but the last prefills.
 pub fn part_of(tokens: u64, members: usize) -> u64 {
     tokens / (members.max(1) as u64)
 }
 
-/// Gives the tokens that are left for the last member.
+/// Returns the number of tokens that remain for the last member.
 pub fn last_part(tokens: u64, members: usize) -> u64 {
-    let before = members.saturating_sub(1) as u64;
-    tokens - part_of(tokens, members) * before
+    let earlier_members = members.saturating_sub(1) as u64;
+    tokens - part_of(tokens, members) * earlier_members
 }
--- a/crates/alderglade-backend/src/lib.rs
+++ b/crates/alderglade-backend/src/lib.rs
@@ -1,7 +1,7 @@
-//! Backend servers as alderglade meets them: model engines and plain services, over HTTP.
+//! HTTP client for backend servers: model engines and plain services.
 //!
-//! [`wire`] holds the bodies, [`engine`] the calls to an engine, [`stream`] reads an answer token
-//! by token, [`gang`] takes a prompt through several engines, [`service`] calls plain services.
+//! [`wire`] defines the JSON bodies, [`engine`] makes the calls to an engine, [`stream`] reads a
+//! response token by token, [`gang`] runs a prompt on several engines, [`service`] calls plain services.
 
 pub mod engine;
 pub mod gang;
--- a/crates/alderglade-backend/src/service.rs
+++ b/crates/alderglade-backend/src/service.rs
@@ -1,83 +1,83 @@
-//! Calls to plain services. The body passes through as it is.
+//! HTTP calls to plain services. Bodies pass through unchanged.
 
-use crate::engine::is_unsent;
+use crate::engine::failed_before_send;
 use std::time::Duration;
 
-/// Connecting takes at most this long.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// The largest answer that is passed on.
-const MOST_BYTES: u64 = 4 << 20;
-/// The header that tells a server which request a call belongs to.
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Largest response body that is passed on.
+const MAX_RESPONSE_BYTES: u64 = 4 << 20;
+/// Header with the id of the request that a call belongs to.
 pub const REQUEST_HEADER: &str = "x-alderglade-request";
 
-/// A call.
+/// A call to a plain service.
 #[derive(Debug, Clone)]
 pub struct Call<'a> {
-    /// The server's address, an IP number and port.
+    /// Address of the server: IP address and port.
     pub address: &'a str,
-    /// The path after the service's name.
+    /// Path of the URL: what follows the service's name in the caller's URL.
     pub path: &'a str,
-    /// The request's identity, passed on in a header.
+    /// Id of the request, sent in [`REQUEST_HEADER`].
     pub request: String,
-    /// The body.
+    /// Body of the call.
     pub body: &'a [u8],
-    /// The time that it may take.
+    /// Timeout of the whole call.
     pub limit: Duration,
 }
 
-/// How a call ended.
+/// Outcome of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum End {
-    /// The server answered.
+    /// The server responded.
     Answered {
-        /// The status.
+        /// HTTP status.
         status: u16,
-        /// The body.
+        /// Body of the response.
         body: String,
     },
-    /// The server said that it is leaving and did not run the call.
+    /// The server reported that it is leaving and did not run the call.
     Leaving,
-    /// The server was not reached; nothing was sent.
+    /// The connection failed, so nothing was sent.
     Unreached,
-    /// Contact was lost after sending.
+    /// The connection broke or timed out after the call may have been sent, or the response can't be read.
     Broke,
 }
 
-/// The status with which a server says that it is leaving and has not run the call.
-const MISDIRECTED: u16 = 421;
+/// HTTP status by which a server reports that it is leaving and has not run the call.
+const STATUS_LEAVING: u16 = 421;
 
-/// Makes agents for calls; one is kept for all servers.
+/// Creates the HTTP agent for calls; one agent serves all servers.
 pub fn agent() -> ureq::Agent {
     ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_connect(Some(CONNECT_LIMIT))
-        // A connection that was kept open may break just as a call is sent on it; nobody could
-        // say whether the call ran.
+        .timeout_connect(Some(CONNECT_TIMEOUT))
+        // An idle connection may break just as a call is sent on it, and then it is unknown whether
+        // the call ran.
         .max_idle_connections(0)
         .build()
         .into()
 }
 
-/// Calls a server.
+/// Posts a call to its server and waits for the outcome.
 pub fn call(agent: &ureq::Agent, call: &Call<'_>) -> End {
     let url = format!("http://{}{}", call.address, call.path);
-    let answer = agent
+    let response = agent
         .post(&url)
         .header(REQUEST_HEADER, &call.request)
         .config()
         .timeout_global(Some(call.limit))
         .build()
         .send(call.body);
-    let mut answer = match answer {
-        Ok(answer) => answer,
-        Err(error) if is_unsent(&error) => return End::Unreached,
+    let mut response = match response {
+        Ok(response) => response,
+        Err(error) if failed_before_send(&error) => return End::Unreached,
         Err(_) => return End::Broke,
     };
-    let status = answer.status().as_u16();
-    if status == MISDIRECTED {
+    let status = response.status().as_u16();
+    if status == STATUS_LEAVING {
         return End::Leaving;
     }
-    let body = answer.body_mut().with_config().limit(MOST_BYTES);
+    let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES);
     match body.read_to_string() {
         Ok(body) => End::Answered { status, body },
         Err(_) => End::Broke,
--- a/crates/alderglade-backend/src/stream.rs
+++ b/crates/alderglade-backend/src/stream.rs
@@ -1,4 +1,4 @@
-//! Reads an answer line by line and puts its tokens in order.
+//! Reads a streamed response line by line and delivers its tokens in order.
 
 use crate::engine::{Client, Error, Limits};
 use crate::wire::{Completion, Line, Reason};
@@ -8,25 +8,25 @@
 /// How a stream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// The whole answer came; it has this many tokens.
+    /// The response is complete; it has this many tokens.
     Finished(u64),
-    /// The engine has no room and didn't start.
+    /// The engine doesn't have enough free memory or a free slot, and didn't start.
     NoRoom,
     /// The engine is leaving and didn't start.
     Leaving,
-    /// The engine was not reached.
+    /// The connection failed, so the engine didn't start.
     Unreached,
-    /// Contact was lost, or the stream ended with tokens missing.
+    /// The connection broke, a line was invalid, or the stream ended with tokens missing.
     Broke,
-    /// The engine failed the request.
+    /// The engine refused or failed the request for another reason.
     Failed,
-    /// The reader wanted no more.
+    /// `deliver` returned false.
     Stopped,
 }
 
-/// Runs one try and hands each token to `deliver`, in order and once.
+/// Runs one attempt and passes each token to `deliver`, in order and exactly once.
 ///
-/// `deliver` says whether it wants more.
+/// `deliver` returns whether to continue.
 pub fn run(
     client: &Client,
     body: &Completion,
@@ -34,19 +34,19 @@
     assembler: &mut Assembler,
     mut deliver: impl FnMut(Frame) -> bool,
 ) -> End {
-    let answer = match client.complete(body, limits) {
-        Ok(answer) => answer,
+    let response = match client.complete(body, limits) {
+        Ok(response) => response,
         Err(error) => return refused(&error),
     };
     let mut total = None;
-    for line in BufReader::new(answer.into_reader()).lines() {
+    for line in BufReader::new(response.into_reader()).lines() {
         let Ok(line) = line else {
             return End::Broke;
         };
         let Ok(line) = serde_json::from_str::<Line>(&line) else {
             return End::Broke;
         };
-        if !take(line, body, assembler, &mut total, &mut deliver) {
+        if !process_line(line, body, assembler, &mut total, &mut deliver) {
             return End::Stopped;
         }
         if total == Some(assembler.next()) {
@@ -56,8 +56,8 @@
     End::Broke
 }
 
-/// Takes one line; says whether the reader wants more.
-fn take(
+/// Processes one line; returns whether `deliver` wants to continue.
+fn process_line(
     line: Line,
     body: &Completion,
     assembler: &mut Assembler,
@@ -92,7 +92,7 @@
     }
 }
 
-/// Says how a try ended that never became a stream.
+/// Returns how an attempt ended that failed before the response was streamed.
 pub fn refused(error: &Error) -> End {
     match error {
         Error::Unreached { .. } => End::Unreached,
--- a/crates/alderglade-backend/src/wire.rs
+++ b/crates/alderglade-backend/src/wire.rs
@@ -1,143 +1,143 @@
-//! Bodies of the calls to model engines, JSON over HTTP.
+//! JSON bodies of the HTTP calls to model engines.
 
 use alderglade_core::Name;
 use alderglade_core::request::{Id, Prefix};
 use serde::{Deserialize, Serialize};
 
-/// Asks for tokens: `POST /v1/completions`.
+/// Request for a completion: `POST /v1/completions`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Completion {
-    /// The request.
+    /// Id of the request.
     pub request: Id,
-    /// Its try; frames carry it.
+    /// Number of the attempt, repeated in each line of the response.
     pub attempt: u32,
-    /// The entry host that reads the answer.
+    /// Entry host that reads the response.
     pub holder: Name,
-    /// The model.
+    /// Name of the model.
     pub model: Name,
-    /// The prompt.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Its length in tokens.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u64,
-    /// The most tokens of the answer.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u64,
-    /// The first token wanted, for an answer that broke off.
+    /// Position of the first token to send, to resume a response that broke off.
     pub resume_from: u64,
-    /// Priority, `0` being served first.
+    /// Priority; `0` is served first.
     pub priority: u8,
-    /// The shared beginning of the prompt.
+    /// Beginning of the prompt that other prompts share, if any.
     pub prefix: Option<Prefix>,
-    /// KV memory is reserved already.
+    /// Whether KV memory is already reserved.
     pub reserved: bool,
-    /// KV cache to import: the last member's export, for the last member of a gang.
+    /// Handle of the KV cache to import, for the last member of a gang: the previous member's export.
     pub import: Option<String>,
-    /// How long the request may take, in milliseconds.
+    /// Remaining time of the request in milliseconds.
     pub time_left_ms: u64,
 }
 
-/// One line of an answer.
+/// One line of a streamed response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Line {
-    /// A token.
+    /// One token.
     Token {
-        /// The request.
+        /// Id of the request.
         request: Id,
-        /// The try.
+        /// Number of the attempt.
         attempt: u32,
-        /// Its position in the answer.
+        /// Position of the token in the response.
         sequence: u64,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// The end of the answer: it has this many tokens.
+    /// End of the response, with its length.
     End {
-        /// The request.
+        /// Id of the request.
         request: Id,
-        /// The try.
+        /// Number of the attempt.
         attempt: u32,
-        /// Tokens in the whole answer, those before `resume_from` included.
+        /// Number of tokens in the whole response, including those before `resume_from`.
         tokens: u64,
     },
 }
 
-/// Why an engine refuses.
+/// Why an engine refused a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// No memory or no slot; it did not start.
+    /// Not enough free memory or no free slot; the engine didn't start.
     NoRoom,
-    /// Leaving; it did not start.
+    /// The engine is leaving and didn't start.
     Leaving,
-    /// The order's epoch is older than one seen.
+    /// The order's epoch is older than one that the engine has seen.
     Fenced,
-    /// Something else.
+    /// Any other reason.
     Failed,
 }
 
-/// An engine's refusal.
+/// Response of an engine that refuses a call.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Why the engine refused.
     pub reason: Reason,
 }
 
-/// Reserves memory: `POST /v1/reserve`.
+/// Request to reserve KV memory: `POST /v1/reserve`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Reserve {
-    /// The request.
+    /// Id of the request.
     pub request: Id,
-    /// The entry host that asks.
+    /// Entry host that runs the request.
     pub holder: Name,
-    /// Memory in tokens.
+    /// Size of the reservation in tokens.
     pub tokens: u64,
-    /// How long it is held unless renewed, in milliseconds.
+    /// Time after which the reservation expires unless renewed, in milliseconds.
     pub lease_ms: u64,
 }
 
-/// Names requests, to renew (`POST /v1/renew`) or to free (`POST /v1/cancel`) what they hold.
+/// Requests whose memory to renew (`POST /v1/renew`) or to free (`POST /v1/cancel`).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Requests {
-    /// The requests.
+    /// Ids of the requests.
     pub requests: Vec<Id>,
-    /// How long they are held unless renewed again, in milliseconds.
+    /// Time after which their memory is freed unless renewed again, in milliseconds.
     pub lease_ms: u64,
 }
 
-/// Confirms a call on several requests.
+/// Response to a call on several requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Confirmed {
-    /// Requests that hold something now.
+    /// Requests that hold memory after the call.
     pub held: Vec<Id>,
 }
 
-/// Prefills a part of a prompt: `POST /v1/prefill`.
+/// Request to prefill one part of a prompt: `POST /v1/prefill`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Prefill {
-    /// The request.
+    /// Id of the request.
     pub request: Id,
-    /// The entry host that asks.
+    /// Entry host that runs the request.
     pub holder: Name,
-    /// Tokens of this part.
+    /// Number of tokens in this part.
     pub tokens: u64,
-    /// KV cache of the parts before, to import.
+    /// Handle of the KV cache of the earlier parts, to import.
     pub import: Option<String>,
 }
 
-/// KV cache that another engine may import.
+/// An exported KV cache that another engine may import.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Export {
-    /// Names it.
+    /// Handle by which the cache is imported.
     pub handle: String,
 }
 
-/// An order: the state that the engine shall have, `POST /v1/orders`.
+/// An order that sets the engine's target state: `POST /v1/orders`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Order {
-    /// The fencing epoch; an engine that checks refuses one older than it has seen.
+    /// Fencing epoch; an engine that checks orders refuses an epoch older than one it has seen.
     pub epoch: u64,
-    /// The model that it shall serve.
+    /// Model to serve.
     pub model: Name,
-    /// The version of the weights.
+    /// Version of the model's weights.
     pub version: Name,
 }
