--- a/crates/alderglade-caller/src/answer.rs
+++ b/crates/alderglade-caller/src/answer.rs
@@ -1,4 +1,4 @@
-//! Writes answers: a line for each token as it comes, and a closing line.
+//! Writes answers: a line for each token as soon as it is available, and a closing line.
 
 use crate::listen::Request;
 use alderglade_core::request::{Id, Refusal};
@@ -14,47 +14,47 @@
 /// One token of an answer.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Token<'a> {
-    /// Its position, from `0`.
+    /// Position of the token in the answer, from `0`.
     pub sequence: u64,
-    /// Its text.
+    /// Text of the token.
     pub token: &'a str,
 }
 
-/// What was used.
+/// Resources that a request used.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Length of the answer in tokens.
     pub output_tokens: u64,
-    /// Tries that were needed.
+    /// Number of attempts.
     pub attempts: u32,
 }
 
-/// The closing line.
+/// Closing line of an answer.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Closing {
-    /// The request.
+    /// Id of the request.
     pub request: String,
-    /// Whether the answer is whole.
+    /// Whether the answer is complete.
     pub finished: bool,
-    /// Why it isn't.
+    /// Why the answer isn't complete: the label of the error kind.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub kind: Option<&'static str>,
     /// Whether the request ran: `no`, `yes` or `unknown`.
     pub ran: &'static str,
-    /// When to come back, in milliseconds.
+    /// Time after which to retry, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// What is wrong, in words.
+    /// Description of the error.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub detail: Option<String>,
-    /// What was used.
+    /// Resources that the request used.
     pub usage: Usage,
 }
 
 impl Closing {
-    /// The closing line of a whole answer.
+    /// Creates the closing line of a complete answer.
     pub fn finished(request: Id, usage: Usage) -> Closing {
         Closing {
             request: request.to_string(),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The closing line of an answer that failed.
+    /// Creates the closing line of a failed answer.
     pub fn failed(request: Id, refusal: Refusal, detail: Option<String>, usage: Usage) -> Closing {
         Closing {
             request: request.to_string(),
@@ -81,98 +81,100 @@
     }
 }
 
-/// Lines that wait for a slow caller before the answer's thread is held up.
-const LINES: usize = 64;
-/// The type of a streamed answer: one JSON object a line.
-const LINES_TYPE: HeaderValue = HeaderValue::from_static("application/x-ndjson");
-/// The type of a whole answer.
+/// Maximum number of lines queued for a slow caller; beyond that the thread that writes the answer blocks.
+const MAX_QUEUED_LINES: usize = 64;
+/// Content type of a streamed answer: one JSON object per line.
+const NDJSON_TYPE: HeaderValue = HeaderValue::from_static("application/x-ndjson");
+/// Content type of an answer with a single JSON object.
 const JSON_TYPE: HeaderValue = HeaderValue::from_static("application/json");
 
-/// What a caller is told whose answer can't be waited for any more; nothing until it is set.
+/// Answer to send if the process stops before the request's own answer has begun; empty until it is set.
 #[derive(Debug, Clone, Default)]
 pub struct Fallback(Arc<Mutex<Option<(u16, Closing)>>>);
 
 impl Fallback {
     fn set(&self, status: u16, closing: Closing) {
-        let mut kept = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        *kept = Some((status, closing));
+        let mut stored = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        *stored = Some((status, closing));
     }
 
-    /// Takes it as a whole answer.
+    /// Takes the status and closing line, if set, as a complete response.
     pub(crate) fn take(&self) -> Option<Response<Content>> {
-        let mut kept = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let (status, closing) = kept.take()?;
-        Some(whole(status, &closing))
+        let mut stored = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let (status, closing) = stored.take()?;
+        Some(complete_response(status, &closing))
     }
 }
 
-/// An answer that is being written.
+/// Writer of the answer to one request.
 pub struct Answer {
     state: State,
     fallback: Fallback,
 }
 
 enum State {
-    Fresh(oneshot::Sender<Response<Content>>),
+    Pending(oneshot::Sender<Response<Content>>),
     Streaming(mpsc::Sender<Result<Chunk, BrokenOff>>),
-    Over,
+    Done,
 }
 
 impl Answer {
-    /// Starts the answer of a request; nothing is sent yet.
+    /// Creates the writer for the answer to `request`; nothing is sent yet.
     pub fn new(request: Request) -> Answer {
         Answer {
-            state: State::Fresh(request.answer),
+            state: State::Pending(request.answer),
             fallback: request.fallback,
         }
     }
 
-    /// Sets what the caller is told if the process ends before the answer is begun.
+    /// Sets the answer that the caller receives if the process stops before this one has begun.
     pub fn set_fallback(&self, status: u16, closing: Closing) {
         self.fallback.set(status, closing);
     }
 
-    /// Sends a token; says whether the caller still listens.
+    /// Sends a token; returns whether the caller is still connected.
     pub fn token(&mut self, token: &Token<'_>) -> bool {
-        self.open();
-        self.line(token)
+        self.start_stream();
+        self.send_line(token)
     }
 
-    /// Sends the closing line, or a whole answer with a status where nothing was sent yet.
+    /// Sends the closing line, or a complete answer with `status` if nothing was sent yet.
     ///
-    /// Says whether the caller took it.
+    /// Returns whether the caller is still connected.
     pub fn close(&mut self, status: u16, closing: &Closing) -> bool {
-        match std::mem::replace(&mut self.state, State::Over) {
-            State::Fresh(answer) => answer.send(whole(status, closing)).is_ok(),
+        match std::mem::replace(&mut self.state, State::Done) {
+            State::Pending(answer) => answer.send(complete_response(status, closing)).is_ok(),
             State::Streaming(lines) => {
                 self.state = State::Streaming(lines);
-                let sent = self.line(closing);
-                self.state = State::Over;
+                let sent = self.send_line(closing);
+                self.state = State::Done;
                 sent
             }
-            State::Over => false,
+            State::Done => false,
         }
     }
 
-    /// Sends the answer of a plain service as it is.
+    /// Sends the response of a plain service unchanged; returns whether the caller is still connected.
+    ///
+    /// Sends nothing and returns false if the answer has already begun.
     pub fn pass_on(&mut self, request_id: Id, status: u16, body: &str) -> bool {
-        let State::Fresh(answer) = std::mem::replace(&mut self.state, State::Over) else {
+        let State::Pending(answer) = std::mem::replace(&mut self.state, State::Done) else {
             return false;
         };
-        let mut response = json(status, body.to_string());
+        let mut response = json_response(status, body.to_string());
         let headers = response.headers_mut();
         headers.insert("x-alderglade-ran", HeaderValue::from_static("yes"));
-        set(headers, "x-alderglade-request", &request_id.to_string());
+        set_header(headers, "x-alderglade-request", &request_id.to_string());
         answer.send(response).is_ok()
     }
 
-    fn open(&mut self) {
-        match std::mem::replace(&mut self.state, State::Over) {
-            State::Fresh(answer) => {
-                let (lines, body) = mpsc::channel(LINES);
+    fn start_stream(&mut self) {
+        match std::mem::replace(&mut self.state, State::Done) {
+            State::Pending(answer) => {
+                let (lines, body) = mpsc::channel(MAX_QUEUED_LINES);
                 let mut response = Response::new(Content::Stream(body));
                 let headers = response.headers_mut();
-                headers.insert(CONTENT_TYPE, LINES_TYPE);
+                headers.insert(CONTENT_TYPE, NDJSON_TYPE);
                 headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
                 if answer.send(response).is_ok() {
                     self.state = State::Streaming(lines);
@@ -182,7 +184,7 @@
         }
     }
 
-    fn line(&mut self, line: &impl Serialize) -> bool {
+    fn send_line(&mut self, line: &impl Serialize) -> bool {
         let State::Streaming(lines) = &self.state else {
             return false;
         };
@@ -197,18 +199,19 @@
 impl Drop for Answer {
     fn drop(&mut self) {
         if let State::Streaming(lines) = &self.state {
-            // Without its closing line an answer must not look whole; the caller may have left.
+            // An answer without its closing line must not look complete, so the connection is broken off.
+            // Sending fails if the caller has disconnected, which is fine.
             let _ = lines.try_send(Err(BrokenOff));
         }
     }
 }
 
-fn whole(status: u16, closing: &Closing) -> Response<Content> {
+fn complete_response(status: u16, closing: &Closing) -> Response<Content> {
     let text = serde_json::to_string(closing).unwrap_or_default();
-    let mut response = json(status, text + "\n");
+    let mut response = json_response(status, text + "\n");
     if let Some(after) = closing.retry_after_ms {
         let seconds = Duration::from_millis(after).as_secs_f64().ceil();
-        set(
+        set_header(
             response.headers_mut(),
             "retry-after",
             &format!("{seconds:.0}"),
@@ -217,7 +220,7 @@
     response
 }
 
-fn json(status: u16, body: String) -> Response<Content> {
+fn json_response(status: u16, body: String) -> Response<Content> {
     let mut response = Response::new(Content::Whole(Some(Bytes::from(body).into())));
     *response.status_mut() =
         StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -225,12 +228,12 @@
     response
 }
 
-/// Sets a header, unless its value can't stand in one.
-fn set(headers: &mut HeaderMap, name: &'static str, value: &str) {
+/// Sets a header, or logs a warning if the value isn't a valid header value.
+fn set_header(headers: &mut HeaderMap, name: &'static str, value: &str) {
     match HeaderValue::from_str(value) {
         Ok(value) => {
             headers.insert(name, value);
         }
-        Err(cause) => log::warn!("header {name} is left out: {cause}"),
+        Err(cause) => log::warn!("omitting header {name} because its value is invalid: {cause}"),
     }
 }
--- a/crates/alderglade-caller/src/ask.rs
+++ b/crates/alderglade-caller/src/ask.rs
@@ -1,25 +1,25 @@
-//! Understands what a caller asks for: headers and JSON.
+//! Parses requests of callers: headers and JSON bodies.
 
 use alderglade_core::error::Kind;
 use http::HeaderMap;
 use serde::Deserialize;
 
-/// The largest body: a prompt of a million tokens and some room.
-pub const MOST_BYTES: usize = 12 << 20;
-/// Bytes of a token where the caller doesn't count: a cautious average.
+/// Largest body: a prompt of a million tokens, with some margin.
+pub const MAX_BODY_BYTES: usize = 12 << 20;
+/// Bytes per token, to estimate the length of a prompt if the caller doesn't send it: a conservative average.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// Why a request can't be taken, in words for the caller.
+/// Why a request is rejected, with a description for the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fault {
-    /// The kind of answer.
+    /// Error kind, which determines the status of the answer.
     pub kind: Kind,
-    /// What is wrong and what was expected.
+    /// What is wrong with the request and what was expected.
     pub detail: String,
 }
 
 impl Fault {
-    /// Makes a fault.
+    /// Creates a fault from its kind and description.
     pub fn new(kind: Kind, detail: impl Into<String>) -> Fault {
         Fault {
             kind,
@@ -28,49 +28,49 @@
     }
 }
 
-/// A shared beginning, as a caller names it.
+/// Beginning of a prompt that other prompts share, as the caller declares it.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Prefix {
-    /// Names the shared text.
+    /// Key that identifies the shared text.
     pub key: String,
-    /// Its length in tokens.
+    /// Length of the shared text in tokens.
     pub tokens: u64,
 }
 
-/// The body of `POST /v1/generate`.
+/// Body of `POST /v1/generate`.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Generate {
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The prompt.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Its length in tokens; counted from its bytes where it is left out.
+    /// Length of the prompt in tokens; estimated from its bytes if omitted.
     #[serde(default)]
     pub prompt_tokens: Option<u64>,
-    /// The most tokens of the answer; the settings' largest where it is left out.
+    /// Maximum number of tokens to generate; the largest that the settings allow if omitted.
     #[serde(default)]
     pub max_tokens: Option<u64>,
-    /// The caller class; the settings' common values where it is left out.
+    /// Caller class; the settings' default values apply if omitted.
     #[serde(default)]
     pub class: String,
-    /// The time allowed in milliseconds; the settings' where it is left out or longer.
+    /// Time allowed in milliseconds; the settings' value applies if this is omitted or longer.
     #[serde(default)]
     pub time_allowed_ms: Option<u64>,
-    /// A beginning that other prompts share.
+    /// Beginning of the prompt that other prompts share.
     #[serde(default)]
     pub prefix: Option<Prefix>,
-    /// Whether it may be sent again after it may have run.
+    /// Whether the request may be retried after it may have run.
     #[serde(default = "yes")]
     pub repeatable: bool,
 }
 
 impl Generate {
-    /// Gives the prompt's length in tokens.
+    /// Returns the prompt's length in tokens, estimated if the caller didn't send it; at least 1.
     pub fn tokens(&self) -> u64 {
-        let counted = (self.prompt.len() as u64).div_ceil(BYTES_PER_TOKEN);
-        self.prompt_tokens.unwrap_or(counted).max(1)
+        let estimated = (self.prompt.len() as u64).div_ceil(BYTES_PER_TOKEN);
+        self.prompt_tokens.unwrap_or(estimated).max(1)
     }
 }
 
@@ -78,39 +78,39 @@
     true
 }
 
-/// What the headers say.
+/// Values of the headers that alderglade reads; other headers are ignored.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Headers {
-    /// The bearer token.
+    /// Bearer token.
     pub token: Option<String>,
-    /// The caller class, for calls to plain services.
+    /// Caller class, for calls to plain services.
     pub class: Option<String>,
-    /// The time allowed in milliseconds, for calls to plain services.
+    /// Time allowed in milliseconds, for calls to plain services.
     pub time_allowed_ms: Option<u64>,
-    /// The key of a request that may run at most once.
+    /// Idempotency key of a request that may run at most once.
     pub key: Option<String>,
-    /// When the key was issued, in milliseconds of the Unix epoch.
+    /// Time at which the key was issued, in milliseconds since the Unix epoch.
     pub issued_ms: Option<u64>,
 }
 
-/// The header with the key of a request that may run at most once.
+/// Header with the idempotency key of a request that may run at most once.
 pub const KEY: &str = "idempotency-key";
-/// The header with the time at which the key was issued.
+/// Header with the time at which the key was issued.
 pub const ISSUED: &str = "idempotency-issued-ms";
-/// The header with the caller class.
+/// Header with the caller class.
 pub const CLASS: &str = "x-caller-class";
-/// The header with the time allowed.
+/// Header with the time allowed.
 pub const TIME_ALLOWED: &str = "x-time-allowed-ms";
-/// The longest key.
-const MOST_KEY_BYTES: usize = 200;
+/// Maximum length of an idempotency key.
+const MAX_KEY_BYTES: usize = 200;
 
-/// Reads the headers.
+/// Parses the headers.
 ///
 /// # Errors
 ///
-/// Where a number isn't one or a key is too long.
+/// Returns a fault if a value isn't visible ASCII text, a number is invalid, or the key is empty or too long.
 pub fn headers(headers: &HeaderMap) -> Result<Headers, Fault> {
-    let mut found = Headers::default();
+    let mut parsed = Headers::default();
     for (name, value) in headers {
         let Ok(value) = value.to_str() else {
             let detail = format!("header {name} holds what is no text");
@@ -118,29 +118,29 @@
         };
         match name.as_str() {
             "authorization" => {
-                found.token = value.strip_prefix("Bearer ").map(str::to_string);
+                parsed.token = value.strip_prefix("Bearer ").map(str::to_string);
             }
-            CLASS => found.class = Some(value.to_string()),
-            TIME_ALLOWED => found.time_allowed_ms = Some(number(TIME_ALLOWED, value)?),
-            ISSUED => found.issued_ms = Some(number(ISSUED, value)?),
-            KEY => found.key = Some(key(value)?),
+            CLASS => parsed.class = Some(value.to_string()),
+            TIME_ALLOWED => parsed.time_allowed_ms = Some(parse_millis(TIME_ALLOWED, value)?),
+            ISSUED => parsed.issued_ms = Some(parse_millis(ISSUED, value)?),
+            KEY => parsed.key = Some(parse_key(value)?),
             _ => {}
         }
     }
-    Ok(found)
+    Ok(parsed)
 }
 
-fn number(header: &str, value: &str) -> Result<u64, Fault> {
+fn parse_millis(header: &str, value: &str) -> Result<u64, Fault> {
     value.parse().map_err(|_| {
         let detail = format!("header {header} is `{value}`; expected whole milliseconds");
         Fault::new(Kind::BadRequest, detail)
     })
 }
 
-fn key(value: &str) -> Result<String, Fault> {
-    if value.is_empty() || value.len() > MOST_KEY_BYTES {
+fn parse_key(value: &str) -> Result<String, Fault> {
+    if value.is_empty() || value.len() > MAX_KEY_BYTES {
         let detail = format!(
-            "header {KEY} has {} bytes; expected 1 to {MOST_KEY_BYTES}",
+            "header {KEY} has {} bytes; expected 1 to {MAX_KEY_BYTES}",
             value.len()
         );
         return Err(Fault::new(Kind::BadRequest, detail));
@@ -148,17 +148,17 @@
     Ok(value.to_string())
 }
 
-/// Makes the fault of a body that is too large.
-pub fn too_large() -> Fault {
-    let detail = format!("the body is larger than {MOST_BYTES} bytes");
+/// Returns the fault for a body larger than [`MAX_BODY_BYTES`].
+pub fn body_too_large() -> Fault {
+    let detail = format!("the body is larger than {MAX_BODY_BYTES} bytes");
     Fault::new(Kind::TooLarge, detail)
 }
 
-/// Reads the body of `POST /v1/generate`.
+/// Parses the body of `POST /v1/generate`.
 ///
 /// # Errors
 ///
-/// Where it is no JSON, or a field is unknown, missing or of the wrong type.
+/// Returns a fault if the body isn't JSON, or a field is unknown, missing or of the wrong type.
 pub fn generate(body: &[u8]) -> Result<Generate, Fault> {
     serde_json::from_slice(body)
         .map_err(|cause| Fault::new(Kind::BadRequest, format!("the body can't be read: {cause}")))
--- a/crates/alderglade-caller/src/lib.rs
+++ b/crates/alderglade-caller/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP towards callers.
+//! HTTP server for callers.
 //!
-//! Callers are served on the stack of `alderglade_serve`: [`listen`] takes connections and bounds how
-//! long they may dawdle, [`ask`] understands what is asked, [`answer`] writes answers token by token.
+//! It uses the HTTP stack of `alderglade_serve`. [`listen`] accepts connections and limits how long they
+//! may be idle, [`ask`] parses requests, [`answer`] writes answers token by token.
 
 pub mod answer;
 pub mod ask;
--- a/crates/alderglade-caller/src/listen.rs
+++ b/crates/alderglade-caller/src/listen.rs
@@ -1,8 +1,8 @@
-//! Takes connections, bounds them, and gives each request a thread of its own.
+//! Accepts connections, applies timeouts and limits, and runs each request on its own thread.
 //!
-//! One thread runs all connections on the stack that the platform's adapter uses too; a caller that
-//! dawdles in its head or its body holds up a few bytes of memory and nobody. Only a request that has
-//! come whole gets a thread.
+//! One thread drives all connections, with the HTTP stack that the platform's adapter uses too. A caller
+//! that sends its head or body slowly only occupies a few bytes of memory and delays nobody else. A
+//! request gets a thread only after it has been received completely.
 
 use crate::answer::Fallback;
 use crate::ask::{self, Fault};
@@ -25,60 +25,61 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{oneshot, watch};
 
-/// A caller that takes longer over its head, or rests longer, loses its connection.
-const IDLE_LIMIT: Duration = Duration::from_secs(20);
-/// The whole body has to come within this time.
-const BODY_LIMIT: Duration = Duration::from_secs(30);
-/// The pause after a connection could not be accepted, so that a lack of descriptors isn't a busy loop.
+/// A connection is closed if a request head takes longer than this, or if it is idle for longer.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// The whole body must be received within this time.
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Pause after a failed accept, so that a lack of file descriptors doesn't cause a busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// A door that closes still takes what comes within this time: a request that was sent before may be under
-/// way, and be sent again once by TCP, which waits 200 ms for it.
-const CLOSING: Duration = Duration::from_millis(500);
-/// Stack of a thread that handles one request.
-const STACK: usize = 256 * 1_024;
+/// A closing door still accepts connections and requests for this time: a request sent before the close may
+/// still be in transit, and TCP may retransmit it once, after 200 ms.
+const CLOSE_GRACE: Duration = Duration::from_millis(500);
+/// Stack size in bytes of a thread that handles one request.
+const HANDLER_STACK_BYTES: usize = 256 * 1_024;
 
-/// Tells a caller that its connection isn't kept.
-const CLOSE: HeaderValue = HeaderValue::from_static("close");
+/// Value of the `Connection` header of an answer after which the connection is closed.
+const CONNECTION_CLOSE: HeaderValue = HeaderValue::from_static("close");
 
-/// Why the door can't open.
+/// Why [`Door::open`] failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The address can't be listened on.
+    /// The server can't listen on the address, or can't start its runtime or thread.
     #[snafu(display("can't listen for callers on {address}"))]
     Listen {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddr,
-        /// The cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// A request that has come whole, or as much of it as was taken.
+/// A request that has been received, completely unless it was rejected.
 pub struct Request {
-    /// The method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub target: String,
-    /// The headers.
+    /// Headers of the request.
     pub headers: HeaderMap,
-    /// The body, or why it wasn't taken.
+    /// Body, or why it was rejected. Empty if the request is passed to [`Handler::turn_away`].
     pub body: Result<Bytes, Fault>,
-    /// Where the answer goes; closed when the caller has left.
+    /// Channel for the answer; closed when the caller has disconnected.
     pub answer: oneshot::Sender<Response<Content>>,
-    /// What the caller is told if the door gives the answer up before it is begun.
+    /// Answer that the caller receives if [`Door::give_up`] is called before the answer has begun.
     pub fallback: Fallback,
 }
 
-/// What is done with each request.
+/// Handles the requests that a [`Door`] receives.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers a request, on a thread of its own.
+    /// Answers a request, on its own thread.
     fn handle(&self, request: Request);
 
-    /// Answers a request that is one too many, on the listening thread; must not wait.
+    /// Rejects a request that exceeds the limit of concurrent requests; runs on the listening thread and
+    /// must not block.
     fn turn_away(&self, request: Request);
 }
 
-/// How far a door is on its way to the end.
+/// Phase of a door's life, in order.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 enum Phase {
     Open,
@@ -86,24 +87,24 @@
     GivenUp,
 }
 
-/// The listening side.
+/// HTTP server that listens for callers.
 #[derive(Debug)]
 pub struct Door {
     address: SocketAddr,
     phase: watch::Sender<Phase>,
-    busy: Arc<AtomicUsize>,
-    open: Arc<AtomicUsize>,
+    requests: Arc<AtomicUsize>,
+    open_connections: Arc<AtomicUsize>,
 }
 
 impl Door {
-    /// Opens the door; at most `most` requests are handled at once.
+    /// Starts listening on `address`; at most `max_requests` requests are handled at once.
     ///
     /// # Errors
     ///
-    /// Where the address is taken.
+    /// Returns an error if the address is in use, or the runtime or its thread can't be started.
     pub fn open(
         address: SocketAddr,
-        most: usize,
+        max_requests: usize,
         handler: Arc<dyn Handler>,
     ) -> Result<Door, Error> {
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -115,18 +116,18 @@
             alderglade_serve::listen::open(address).context(ListenSnafu { address })?
         };
         let address = listener.local_addr().context(ListenSnafu { address })?;
-        let (phase, shown) = watch::channel(Phase::Open);
-        let hall = Hall {
+        let (phase, phase_receiver) = watch::channel(Phase::Open);
+        let dispatcher = Dispatcher {
             handler,
-            phase: shown,
-            busy: Arc::default(),
-            most,
+            phase: phase_receiver,
+            requests: Arc::default(),
+            max_requests,
         };
-        let busy = hall.busy.clone();
-        let open: Arc<AtomicUsize> = Arc::default();
+        let requests = dispatcher.requests.clone();
+        let open_connections: Arc<AtomicUsize> = Arc::default();
         let connections = Connections {
-            hall,
-            open: open.clone(),
+            dispatcher,
+            open_connections: open_connections.clone(),
         };
         let run = move || runtime.block_on(accept(listener, connections));
         thread::Builder::new()
@@ -136,159 +137,163 @@
         Ok(Door {
             address,
             phase,
-            busy,
-            open,
+            requests,
+            open_connections,
         })
     }
 
-    /// Gives the address that callers reach.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Gives how many requests are being handled; once the door is closed, how many connections have
-    /// not got the whole of their answer, and one more while connections are still taken.
+    /// Returns the number of requests being handled. Once the door is closed, returns the number of open
+    /// connections instead, plus one while connections are still accepted: a connection stays open until
+    /// its answer has been sent completely.
     pub fn busy(&self) -> usize {
         if *self.phase.borrow() != Phase::Open {
-            return self.open.load(Ordering::Relaxed);
+            return self.open_connections.load(Ordering::Relaxed);
         }
-        self.busy.load(Ordering::Relaxed)
+        self.requests.load(Ordering::Relaxed)
     }
 
-    /// Takes no further connections and ends those at rest, once what was sent before has come; what is in
-    /// hand goes on.
+    /// Stops accepting connections and closes idle ones, after a short time for requests that are still in
+    /// transit. Requests that are being handled continue.
     pub fn close(&self) {
         self.phase.send_replace(Phase::Closed);
     }
 
-    /// Gives up the answers that are not begun: their callers get the fallback that was set for them.
+    /// Gives up answers that haven't begun: their callers receive the fallback set for them, or a closed
+    /// connection if there is none.
     ///
-    /// A request may hang at a backend server longer than a process that stops can wait.
+    /// A request may hang at a backend server for longer than a stopping process can wait.
     pub fn give_up(&self) {
         self.phase.send_replace(Phase::GivenUp);
     }
 }
 
-/// What each connection is given.
+/// State shared by all connections.
 #[derive(Clone)]
 struct Connections {
-    hall: Hall,
-    open: Arc<AtomicUsize>,
+    dispatcher: Dispatcher,
+    open_connections: Arc<AtomicUsize>,
 }
 
-/// Accepts connections until the door has closed, and serves the open ones until the process ends.
+/// Accepts connections until the door has closed, then drives the open ones until the process ends.
 async fn accept(listener: TcpListener, connections: Connections) {
-    let own = Place::take(&connections.open);
-    let until_closed = until_closed(connections.hall.phase.clone());
-    tokio::pin!(until_closed);
+    let listener_guard = CountGuard::new(&connections.open_connections);
+    let closed = wait_until_closed(connections.dispatcher.phase.clone());
+    tokio::pin!(closed);
     loop {
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
-            () = until_closed.as_mut() => break,
+            () = closed.as_mut() => break,
         };
         match accepted {
             Ok((stream, _)) => {
-                let place = Place::take(&connections.open);
-                tokio::spawn(connection(stream, connections.clone(), place));
+                let guard = CountGuard::new(&connections.open_connections);
+                tokio::spawn(connection(stream, connections.clone(), guard));
             }
             Err(cause) => {
-                log::warn!("a connection can't be accepted: {cause}");
+                log::warn!("failed to accept a connection: {cause}");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
     }
-    drop((listener, own));
+    drop((listener, listener_guard));
     std::future::pending().await
 }
 
-/// Serves one connection. An answer counts as given once it has left this process, so the place is kept
-/// until then.
-async fn connection(stream: TcpStream, connections: Connections, _place: Place) {
-    let hall = connections.hall;
-    let phase = hall.phase.clone();
+/// Serves one connection. It stays counted until its answers have left this process.
+async fn connection(stream: TcpStream, connections: Connections, _guard: CountGuard) {
+    let dispatcher = connections.dispatcher;
+    let phase = dispatcher.phase.clone();
     if let Err(cause) = stream.set_nodelay(true) {
-        log::debug!("socket option refused: {cause}");
+        log::debug!("failed to disable Nagle's algorithm on a connection: {cause}");
     }
     let service = service_fn(move |request| {
-        let hall = hall.clone();
-        async move { hall.answer(request).await }
+        let dispatcher = dispatcher.clone();
+        async move { dispatcher.answer(request).await }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(IDLE_LIMIT)
+        .header_read_timeout(IDLE_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let served = tokio::select! {
         biased;
         served = connection.as_mut() => served,
-        () = until_closed(phase) => {
+        () = wait_until_closed(phase) => {
             connection.as_mut().graceful_shutdown();
             connection.as_mut().await
         }
     };
     if let Err(cause) = served {
-        log::debug!("a caller's connection: {cause}");
+        log::debug!("connection to a caller failed: {cause}");
     }
 }
 
-/// Waits until the door has closed and whatever was sent before has come.
-async fn until_closed(shown: watch::Receiver<Phase>) {
-    until(shown, Phase::Closed).await;
-    tokio::time::sleep(CLOSING).await;
+/// Waits until the door has closed and the time for requests in transit has passed.
+async fn wait_until_closed(receiver: watch::Receiver<Phase>) {
+    wait_for_phase(receiver, Phase::Closed).await;
+    tokio::time::sleep(CLOSE_GRACE).await;
 }
 
-/// Waits until the door is so far, which a door that is dropped never is.
-async fn until(mut shown: watch::Receiver<Phase>, phase: Phase) {
-    let gone = shown.wait_for(|shown| *shown >= phase).await.is_err();
-    if gone {
+/// Waits until the door has reached `phase`. Waits forever if the door is dropped before.
+async fn wait_for_phase(mut receiver: watch::Receiver<Phase>, phase: Phase) {
+    let is_dropped = receiver
+        .wait_for(|current| *current >= phase)
+        .await
+        .is_err();
+    if is_dropped {
         std::future::pending::<()>().await;
     }
 }
 
-/// Where requests go; bounds how many there are at once.
+/// Passes requests to the handler and limits how many run at once.
 #[derive(Clone)]
-struct Hall {
+struct Dispatcher {
     handler: Arc<dyn Handler>,
     phase: watch::Receiver<Phase>,
-    busy: Arc<AtomicUsize>,
-    most: usize,
+    requests: Arc<AtomicUsize>,
+    max_requests: usize,
 }
 
-/// One request or connection in a count, until it is dropped.
-struct Place {
+/// Counts one request or connection until it is dropped.
+struct CountGuard {
     count: Arc<AtomicUsize>,
 }
 
-impl Place {
-    fn take(count: &Arc<AtomicUsize>) -> Place {
+impl CountGuard {
+    fn new(count: &Arc<AtomicUsize>) -> CountGuard {
         count.fetch_add(1, Ordering::Relaxed);
-        Place {
+        CountGuard {
             count: count.clone(),
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         self.count.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// The handler has dropped a request without an answer; the caller's connection is closed.
+/// The request was dropped without an answer, so the caller's connection is closed.
 #[derive(Debug, Snafu)]
 #[snafu(display("the request was dropped without an answer"))]
 struct Dropped;
 
-impl Hall {
+impl Dispatcher {
     async fn answer(
         &self,
         request: hyper::Request<Incoming>,
     ) -> Result<Response<Content>, Dropped> {
         let (head, body) = request.into_parts();
-        let place = self.place();
-        let body = match &place {
-            Some(_) => read(body).await,
+        let guard = self.try_admit();
+        let body = match &guard {
+            Some(_) => read_body(body).await,
             None => Ok(Bytes::new()),
         };
         let (sender, answer) = oneshot::channel();
@@ -301,55 +306,55 @@
             answer: sender,
             fallback: fallback.clone(),
         };
-        match place {
-            Some(place) => self.handle(request, place),
+        match guard {
+            Some(guard) => self.handle(request, guard),
             None => self.handler.turn_away(request),
         }
         let mut answer = tokio::select! {
             answer = answer => answer.map_err(|_| Dropped),
-            () = until(self.phase.clone(), Phase::GivenUp) => fallback.take().ok_or(Dropped),
+            () = wait_for_phase(self.phase.clone(), Phase::GivenUp) => fallback.take().ok_or(Dropped),
         }?;
         if *self.phase.borrow() != Phase::Open {
-            answer.headers_mut().insert(CONNECTION, CLOSE);
+            answer.headers_mut().insert(CONNECTION, CONNECTION_CLOSE);
         }
         Ok(answer)
     }
 
-    fn place(&self) -> Option<Place> {
-        let place = Place::take(&self.busy);
-        (self.busy.load(Ordering::Relaxed) <= self.most).then_some(place)
+    fn try_admit(&self) -> Option<CountGuard> {
+        let guard = CountGuard::new(&self.requests);
+        (self.requests.load(Ordering::Relaxed) <= self.max_requests).then_some(guard)
     }
 
-    fn handle(&self, request: Request, place: Place) {
+    fn handle(&self, request: Request, guard: CountGuard) {
         let handler = self.handler.clone();
         let spawned = thread::Builder::new()
             .name("caller".into())
-            .stack_size(STACK)
+            .stack_size(HANDLER_STACK_BYTES)
             .spawn(move || {
-                let _place = place;
+                let _guard = guard;
                 handler.handle(request);
             });
         if let Err(cause) = spawned {
-            log::warn!("a request gets no thread: {cause}");
+            log::warn!("failed to start a thread for a request: {cause}");
         }
     }
 }
 
-/// Reads the body, within its size and time.
-async fn read(body: Incoming) -> Result<Bytes, Fault> {
-    if body.size_hint().lower() > ask::MOST_BYTES as u64 {
-        return Err(ask::too_large());
+/// Reads the body, enforcing [`ask::MAX_BODY_BYTES`] and [`BODY_TIMEOUT`].
+async fn read_body(body: Incoming) -> Result<Bytes, Fault> {
+    if body.size_hint().lower() > ask::MAX_BODY_BYTES as u64 {
+        return Err(ask::body_too_large());
     }
-    let collect = Limited::new(body, ask::MOST_BYTES).collect();
-    match tokio::time::timeout(BODY_LIMIT, collect).await {
+    let collect = Limited::new(body, ask::MAX_BODY_BYTES).collect();
+    match tokio::time::timeout(BODY_TIMEOUT, collect).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(cause)) if cause.is::<LengthLimitError>() => Err(ask::too_large()),
+        Ok(Err(cause)) if cause.is::<LengthLimitError>() => Err(ask::body_too_large()),
         Ok(Err(cause)) => {
             let detail = format!("the body broke off: {cause}");
             Err(Fault::new(Kind::BadRequest, detail))
         }
         Err(_) => {
-            let detail = format!("the body took longer than {} s", BODY_LIMIT.as_secs());
+            let detail = format!("the body took longer than {} s", BODY_TIMEOUT.as_secs());
             Err(Fault::new(Kind::BadRequest, detail))
         }
     }
--- a/crates/alderglade-caller/tests/testsuite/close.rs
+++ b/crates/alderglade-caller/tests/testsuite/close.rs
@@ -1,4 +1,4 @@
-//! A door that closes while answers are under way.
+//! Closing a door while answers are being sent, connections are idle or requests are in transit.
 
 use alderglade_caller::answer::{Answer, Closing, Token, Usage};
 use alderglade_caller::listen::{Door, Handler, Request};
@@ -10,21 +10,26 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long something that should happen may take; generous, because nothing is timed.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Lines of an answer; fewer than wait for a slow caller without holding up the handler.
-const LINES: u64 = 50;
-/// Bytes of a line: all lines together are more than sockets take in.
-const LINE: usize = 512 * 1024;
+/// Timeout for a condition that must become true; generous, because the tests measure no durations.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// Lines of an answer; few enough to be queued for a slow caller without blocking the handler.
+const ANSWER_LINES: u64 = 50;
+/// Bytes of a line, so large that all lines together exceed the socket buffers.
+const LINE_BYTES: usize = 512 * 1024;
 
+/// Streams [`ANSWER_LINES`] lines, or only a closing line for `/short`.
 struct Streamer {
     handled: AtomicBool,
 }
 
 impl Handler for Streamer {
     fn handle(&self, request: Request) {
-        let text = "x".repeat(LINE);
-        let lines = if request.target == "/short" { 0 } else { LINES };
+        let text = "x".repeat(LINE_BYTES);
+        let lines = if request.target == "/short" {
+            0
+        } else {
+            ANSWER_LINES
+        };
         let mut answer = Answer::new(request);
         for sequence in 0..lines {
             let token = Token {
@@ -40,18 +45,21 @@
     fn turn_away(&self, _request: Request) {}
 }
 
-fn eventually(what: &str, holds: impl Fn() -> bool) {
-    let began = Instant::now();
+fn eventually(condition: &str, holds: impl Fn() -> bool) {
+    let start = Instant::now();
     while !holds() {
-        assert!(began.elapsed() < PATIENCE, "never: {what}");
+        assert!(
+            start.elapsed() < TIMEOUT,
+            "timed out waiting for: {condition}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// From a rolling stop under load: the process ended when the handler had written its last line, which
-/// still waited to be sent.
+/// A closed door must count a connection until its answer has been sent. During a rolling stop under load, a
+/// process exited as soon as the handler had written the last line, which was still queued.
 #[test]
-fn a_closed_door_is_busy_until_answers_have_left() {
+fn a_closed_door_is_busy_until_answers_are_sent() {
     let handler = Arc::new(Streamer {
         handled: AtomicBool::new(false),
     });
@@ -65,19 +73,19 @@
         handler.handled.load(Ordering::SeqCst)
     });
     door.close();
-    assert!(door.busy() > 0, "the answer has not left yet");
+    assert!(door.busy() > 0, "the answer hasn't been sent yet");
     let mut answer = Vec::new();
     caller.read_to_end(&mut answer).expect("the whole answer");
     assert!(
         answer.ends_with(b"0\r\n\r\n"),
         "it ends as a whole answer does"
     );
-    assert!(answer.len() > LINES as usize * LINE);
+    assert!(answer.len() > ANSWER_LINES as usize * LINE_BYTES);
     eventually("the door is idle", || door.busy() == 0);
 }
 
 #[test]
-fn a_closed_door_ends_connections_at_rest() {
+fn a_closed_door_closes_idle_connections() {
     let handler = Arc::new(Streamer {
         handled: AtomicBool::new(false),
     });
@@ -95,11 +103,11 @@
     }
     door.close();
     eventually("the door is idle", || door.busy() == 0);
-    let mut rest = Vec::new();
-    assert_eq!(caller.read_to_end(&mut rest).ok(), Some(0));
+    let mut remainder = Vec::new();
+    assert_eq!(caller.read_to_end(&mut remainder).ok(), Some(0));
 }
 
-/// A request's thread that waits for a backend server; it has set a fallback or not.
+/// Keeps answers open, like requests that wait for a backend server; sets a fallback only for `/word`.
 struct Waiter {
     waiting: Mutex<Vec<Answer>>,
 }
@@ -132,40 +140,44 @@
         caller.write_all(head.as_bytes()).expect("sent");
         caller
     });
-    eventually("both wait", || {
+    eventually("both requests wait", || {
         handler.waiting.lock().expect("no panic").len() == 2
     });
     door.close();
-    eventually("only they are left", || door.busy() == 2);
+    eventually("only the two connections are open", || door.busy() == 2);
     door.give_up();
-    let [told, untold] = callers.map(|mut caller| {
+    let [with_fallback, without_fallback] = callers.map(|mut caller| {
         let mut answer = String::new();
         caller.read_to_string(&mut answer).expect("an end");
         answer
     });
-    assert!(told.starts_with("HTTP/1.1 504"), "{told}");
-    assert!(told.contains("retry-after: 1"), "{told}");
-    assert!(told.contains(r#""ran":"unknown""#), "{told}");
-    assert_eq!(untold, "");
+    assert!(with_fallback.starts_with("HTTP/1.1 504"), "{with_fallback}");
+    assert!(with_fallback.contains("retry-after: 1"), "{with_fallback}");
+    assert!(
+        with_fallback.contains(r#""ran":"unknown""#),
+        "{with_fallback}"
+    );
+    assert_eq!(without_fallback, "");
     eventually("the door is idle", || door.busy() == 0);
 }
 
 /// Reads an answer to its closing line, or to the end of the connection.
-fn answer(caller: &mut TcpStream) -> String {
+fn read_answer(caller: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
-    let mut piece = [0; 4_096];
+    let mut buffer = [0; 4_096];
     while !bytes.ends_with(b"}\n")
-        && let Ok(read) = caller.read(&mut piece)
+        && let Ok(read) = caller.read(&mut buffer)
         && read > 0
     {
-        bytes.extend(&piece[..read]);
+        bytes.extend(&buffer[..read]);
     }
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// A connection was closed although a request had come over it, which had been sent in good faith.
+/// A request sent before the close must be answered, on new connections and on kept ones. A closing door used
+/// to close a connection on which a request had already been received.
 #[test]
-fn a_request_that_has_come_when_the_door_closes_is_answered() {
+fn requests_sent_before_the_close_are_answered() {
     let handler = Arc::new(Streamer {
         handled: AtomicBool::new(false),
     });
@@ -175,16 +187,16 @@
         let door = Door::open(address, 200, handler.clone()).expect("a door");
         let connect = |_| TcpStream::connect(door.address()).expect("a connection");
         let mut callers: Vec<TcpStream> = (0..20).map(connect).collect();
-        for kept in &mut callers {
-            kept.write_all(request).expect("sent");
-            assert!(answer(kept).contains("finished"));
+        for connected in &mut callers {
+            connected.write_all(request).expect("sent");
+            assert!(read_answer(connected).contains("finished"));
         }
         callers.extend((0..20).map(connect));
         for caller in &mut callers {
             caller.write_all(request).expect("sent");
         }
         door.close();
-        let answers = callers.iter_mut().map(answer);
+        let answers = callers.iter_mut().map(read_answer);
         let lost = answers.filter(|answer| !answer.contains("finished"));
         assert_eq!(lost.count(), 0, "of {} in round {round}", callers.len());
     }
--- a/crates/alderglade-caller/tests/testsuite/main.rs
+++ b/crates/alderglade-caller/tests/testsuite/main.rs
@@ -1,3 +1,3 @@
-//! Tests of the callers' side over real sockets.
+//! Tests of the HTTP server for callers, over real sockets.
 
 mod close;
