--- a/crates/alderglade-clock/src/lib.rs
+++ b/crates/alderglade-clock/src/lib.rs
@@ -1,7 +1,8 @@
-//! A steady clock that goes on while the host is suspended.
+//! A monotonic clock that continues while the host is suspended.
 //!
-//! The standard library's stands still then: all that is held by it (how old a word is, until when a lease is good, how
-//! long a caller still waits) would be younger than it is to everybody else. The time of day goes on, but may jump.
+//! The standard library's monotonic clock stops during a suspension. Measured by it, the age of a message, the expiry of
+//! a lease or a caller's remaining time would lag behind what all other hosts measure. The wall clock continues, but may
+//! jump.
 
 mod suspension;
 
@@ -11,27 +12,27 @@
 use std::ops::Add;
 use std::time::Duration;
 
-/// A point in time, of use only within this process.
+/// A point in time, comparable only within this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Instant(Duration);
 
 impl Instant {
-    /// Gives the present.
+    /// Returns the current time.
     pub fn now() -> Instant {
-        Instant(read(ClockId::Boottime))
+        Instant(read_clock(ClockId::Boottime))
     }
 
-    /// Gives the time since the host was started, that in which it was suspended among it.
+    /// Returns the time since the host was started, including suspensions.
     pub fn since_start(self) -> Duration {
         self.0
     }
 
-    /// Gives the time since this point, or zero where it lies ahead.
+    /// Returns the time elapsed since this instant, or zero if it is in the future.
     pub fn elapsed(self) -> Duration {
         Instant::now().saturating_duration_since(self)
     }
 
-    /// Gives the time since `earlier`, or zero where that is later.
+    /// Returns the time from `earlier` to this instant, or zero if `earlier` is later.
     pub fn saturating_duration_since(self, earlier: Instant) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
@@ -40,13 +41,13 @@
 impl Add<Duration> for Instant {
     type Output = Instant;
 
-    fn add(self, span: Duration) -> Instant {
-        Instant(self.0.saturating_add(span))
+    fn add(self, duration: Duration) -> Instant {
+        Instant(self.0.saturating_add(duration))
     }
 }
 
-/// Reads a clock that has run since the host was started.
-fn read(clock: ClockId) -> Duration {
+/// Reads a clock that counts from the start of the host.
+fn read_clock(clock: ClockId) -> Duration {
     let Timespec { tv_sec, tv_nsec } = clock_gettime(clock);
     let seconds = u64::try_from(tv_sec).unwrap_or(0);
     let nanos = u64::try_from(tv_nsec).unwrap_or(0);
--- a/crates/alderglade-clock/src/suspension.rs
+++ b/crates/alderglade-clock/src/suspension.rs
@@ -1,32 +1,34 @@
-//! How a process notices that its host was suspended.
+//! Detection of suspensions of the host.
 
-use super::{Instant, read};
+use super::{Instant, read_clock};
 use rustix::time::ClockId;
 use std::time::Duration;
 
-/// A part by which the clocks differ that counts: two readings are some microseconds apart, more on a busy host.
-const LEAST: Duration = Duration::from_millis(50);
+/// Smallest difference between the clocks that counts as a suspension. The two clocks are read some microseconds
+/// apart, more on a busy host.
+const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
-/// Notices that the host was suspended, by the clock that stood still meanwhile.
+/// Detects suspensions of the host by comparing a clock that continues during them with one that stops.
 #[derive(Debug, Default)]
 pub struct Suspension {
-    /// By how much the clock that goes on was ahead of the other at the last look.
-    ahead: Option<Duration>,
+    /// Difference between the two clocks at the last check: the total duration of all suspensions.
+    total_suspended: Option<Duration>,
 }
 
 impl Suspension {
-    /// Gives how long the host has been suspended since the last look, if it was.
+    /// Returns how long the host has been suspended since the last call, or `None` if it wasn't.
     pub fn look(&mut self) -> Option<Duration> {
-        let stood_still = read(ClockId::Monotonic);
-        let went_on = Instant::now().since_start();
-        self.compare(went_on, stood_still)
+        let monotonic = read_clock(ClockId::Monotonic);
+        let boottime = Instant::now().since_start();
+        self.compare(boottime, monotonic)
     }
 
-    /// As [`Suspension::look`], by these readings of the two clocks.
-    pub fn compare(&mut self, went_on: Duration, stood_still: Duration) -> Option<Duration> {
-        let ahead = went_on.saturating_sub(stood_still);
-        let before = self.ahead.replace(ahead)?;
-        let span = ahead.saturating_sub(before);
-        (span >= LEAST).then_some(span)
+    /// Does the same as [`Suspension::look`] for the given readings of the clock that continues during
+    /// suspensions (`boottime`) and the one that stops (`monotonic`).
+    pub fn compare(&mut self, boottime: Duration, monotonic: Duration) -> Option<Duration> {
+        let total_suspended = boottime.saturating_sub(monotonic);
+        let previous = self.total_suspended.replace(total_suspended)?;
+        let suspended = total_suspended.saturating_sub(previous);
+        (suspended >= MIN_SUSPENSION).then_some(suspended)
     }
 }
--- a/crates/alderglade-clock/tests/suspension.rs
+++ b/crates/alderglade-clock/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! What a process notices of its host's suspension.
+//! Tests of the clock and of the detection of suspensions.
 
 use alderglade_clock::{Instant, Suspension};
 use rustix::time::{ClockId, clock_gettime};
@@ -8,9 +8,10 @@
     Duration::from_millis(ms)
 }
 
-/// Held against the clock that the kernel lets go on; only where the host was once suspended does the other one differ.
+/// Compares with the kernel's clock that continues during suspensions. A wrong choice of clock only shows on a host that
+/// has been suspended at least once; on others the two clocks agree.
 #[test]
-fn the_clock_is_the_one_that_goes_on() {
+fn the_clock_continues_during_suspensions() {
     let kernel = || {
         let now = clock_gettime(ClockId::Boottime);
         Duration::new(now.tv_sec.unsigned_abs(), now.tv_nsec as u32)
@@ -24,12 +25,12 @@
 }
 
 #[test]
-fn a_suspension_is_noticed_once_with_its_length() {
+fn a_suspension_is_reported_once_with_its_length() {
     let mut suspension = Suspension::default();
     assert_eq!(
         suspension.compare(ms(10_000), ms(9_000)),
         None,
-        "before the start"
+        "a suspension before the first check"
     );
     assert_eq!(suspension.compare(ms(10_250), ms(9_250)), None);
     assert_eq!(suspension.compare(ms(14_500), ms(9_500)), Some(ms(4_000)));
@@ -37,10 +38,10 @@
 }
 
 #[test]
-fn readings_that_lie_a_little_apart_are_none() {
+fn small_differences_between_readings_are_not_suspensions() {
     let mut suspension = Suspension::default();
-    for (number, late) in [0, 40, 5, 45, 0].into_iter().enumerate() {
+    for (number, delay) in [0, 40, 5, 45, 0].into_iter().enumerate() {
         let now = ms(1_000 + 250 * number as u64);
-        assert_eq!(suspension.compare(now + ms(late), now), None);
+        assert_eq!(suspension.compare(now + ms(delay), now), None);
     }
 }
