--- a/crates/alderglade-peer/src/lib.rs
+++ b/crates/alderglade-peer/src/lib.rs
@@ -1,9 +1,9 @@
 //! Messages between entry hosts, over `tarpc`.
 //!
-//! One call carries a batch of one-way messages. The library's runtime lives on one thread of its
-//! own; the rest of the process knows only [`Peers::send`] and a function that takes what comes.
-//! A message that can't be delivered is dropped and its receiver reported silent: every exchange
-//! is repeated by whoever still waits, so nothing here retries.
+//! One call transfers a batch of one-way messages. The library's runtime has its own thread; the rest
+//! of the process only uses [`Peers::send`] and a [`Sink`] for received messages. A message that can't
+//! be delivered is dropped and its receiver is reported as silent. Nothing here retries, because the
+//! sender of a request retries it as long as it waits for the reply.
 
 mod link;
 mod rpc;
@@ -15,49 +15,49 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// Messages that may wait for the runtime's thread.
-const MOST_WAITING: usize = 65_536;
+/// Maximum number of messages queued for the runtime's thread.
+const MAX_QUEUED_MESSAGES: usize = 65_536;
 
-/// Why the peer side can't start.
+/// Why [`Peers::start`] failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The address can't be listened on.
+    /// The host can't listen on the address.
     #[snafu(display("can't listen for other entry hosts on {address}"))]
     Listen {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddr,
-        /// The cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The runtime's thread can't be started.
+    /// The runtime or its thread can't be started.
     #[snafu(display("can't start the thread for other entry hosts"))]
     Thread {
-        /// The cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// What comes from other hosts.
+/// An event from the connections to other hosts.
 #[derive(Debug)]
 pub enum Incoming {
-    /// A message.
+    /// A message was received.
     Message {
-        /// The sender.
+        /// Name of the sending host.
         from: Name,
-        /// The message.
+        /// Received message.
         message: Box<Message>,
     },
-    /// A host didn't take a message.
+    /// Messages to a host couldn't be delivered.
     Silent {
-        /// The host.
+        /// Name of the host.
         host: Name,
     },
 }
 
-/// Takes what comes from other hosts; called on the runtime's thread and must not block.
+/// Handler of incoming events; called on the runtime's thread and must not block.
 pub type Sink = Arc<dyn Fn(Incoming) + Send + Sync>;
 
-/// One message on its way out.
+/// A message to send, with the name and address of its receiver.
 #[derive(Debug)]
 pub(crate) struct Outgoing {
     to: Name,
@@ -65,7 +65,7 @@
     message: Message,
 }
 
-/// Sends messages to other hosts.
+/// Handle for sending messages to other hosts.
 #[derive(Debug, Clone)]
 pub struct Peers {
     queue: mpsc::Sender<Outgoing>,
@@ -77,38 +77,38 @@
     ///
     /// # Errors
     ///
-    /// Where the address is taken or no thread can be started.
+    /// Returns an error if the address is in use, or the runtime or its thread can't be started.
     pub fn start(own: Name, address: SocketAddr, sink: Sink) -> Result<Peers, Error> {
         let listener = std::net::TcpListener::bind(address).context(ListenSnafu { address })?;
         listener
             .set_nonblocking(true)
             .context(ListenSnafu { address })?;
         let address = listener.local_addr().context(ListenSnafu { address })?;
-        let (queue, waiting) = mpsc::channel(MOST_WAITING);
+        let (queue, outgoing) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
             .context(ThreadSnafu)?;
         std::thread::Builder::new()
             .name("peer".into())
-            .spawn(move || runtime.block_on(link::run(own, listener, waiting, sink)))
+            .spawn(move || runtime.block_on(link::run(own, listener, outgoing, sink)))
             .context(ThreadSnafu)?;
         Ok(Peers { queue, address })
     }
 
-    /// Gives the address that other hosts reach this one at.
+    /// Returns the address that this host listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Hands a message to the runtime's thread; it is dropped where too many wait.
+    /// Queues a message for the runtime's thread; drops it if the queue is full.
     pub fn send(&self, to: Name, address: Name, message: Message) {
         let outgoing = Outgoing {
             to,
             address,
             message,
         };
-        // A full queue means that the receiver is far behind; the sender's repetition covers it.
+        // A full queue means that the receiver is far behind; the sender's retry replaces the message.
         let _ = self.queue.try_send(outgoing);
     }
 }
--- a/crates/alderglade-peer/src/link.rs
+++ b/crates/alderglade-peer/src/link.rs
@@ -1,4 +1,4 @@
-//! The runtime's thread: a listener, and one task for each host that is sent to.
+//! Tasks on the runtime's thread: a listener, and one sending task for each destination host.
 
 use crate::rpc::{Host, HostClient};
 use crate::{Incoming, Outgoing, Sink};
@@ -14,20 +14,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// The largest batch in bytes; settings of thousands of workspaces fit.
-const MOST_BYTES: usize = 16 << 20;
-/// Messages in one batch at most.
-const BATCH: usize = 128;
-/// Messages that may wait for one host.
-const MOST_WAITING: usize = 8_192;
-/// Connecting takes at most this long.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// A batch has to be taken within this time.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
-/// After a failure a host is left alone for this long.
-const PAUSE: Duration = Duration::from_millis(200);
-/// A task without work for this long ends.
-const IDLE: Duration = Duration::from_secs(60);
+/// Largest batch in bytes; large enough for the settings of thousands of workspaces.
+const MAX_BATCH_BYTES: usize = 16 << 20;
+/// Maximum number of messages in one batch.
+const MAX_BATCH_MESSAGES: usize = 128;
+/// Maximum number of messages queued for one host.
+const MAX_QUEUED_MESSAGES: usize = 8_192;
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout for delivering a batch.
+const DELIVERY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause after a failed delivery before the next one to the same host, and after a failed accept.
+const FAILURE_PAUSE: Duration = Duration::from_millis(200);
+/// A sending task ends after this time without messages.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 #[derive(Clone)]
 struct Receiver {
@@ -45,11 +45,13 @@
     }
 }
 
-/// Runs until the process ends.
+/// Starts the listener and passes outgoing messages to a task for each host; runs until all [`Peers`] are dropped.
+///
+/// [`Peers`]: crate::Peers
 pub(crate) async fn run(
     own: Name,
     listener: std::net::TcpListener,
-    mut waiting: mpsc::Receiver<Outgoing>,
+    mut outgoing: mpsc::Receiver<Outgoing>,
     sink: Sink,
 ) {
     let Ok(listener) = TcpListener::from_std(listener) else {
@@ -57,10 +59,10 @@
     };
     tokio::spawn(listen(listener, sink.clone()));
     let mut links: HashMap<(Name, Name), mpsc::Sender<Message>> = HashMap::new();
-    while let Some(outgoing) = waiting.recv().await {
-        let key = (outgoing.to, outgoing.address);
+    while let Some(next) = outgoing.recv().await {
+        let key = (next.to, next.address);
         let link = links.entry(key.clone()).or_insert_with(|| {
-            let (sender, receiver) = mpsc::channel(MOST_WAITING);
+            let (sender, receiver) = mpsc::channel(MAX_QUEUED_MESSAGES);
             let link = Link {
                 own: own.clone(),
                 host: key.0.clone(),
@@ -70,7 +72,7 @@
             tokio::spawn(link.run(receiver));
             sender
         });
-        let result = link.try_send(outgoing.message);
+        let result = link.try_send(next.message);
         if let Err(mpsc::error::TrySendError::Closed(_)) = result {
             links.remove(&key);
         }
@@ -80,28 +82,28 @@
 async fn listen(listener: TcpListener, sink: Sink) {
     loop {
         let Ok((socket, _)) = listener.accept().await else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(FAILURE_PAUSE).await;
             continue;
         };
         let _ = socket.set_nodelay(true);
         let transport = serde_transport::new(framed(socket), Bincode::default());
         let receiver = Receiver { sink: sink.clone() };
         let requests = BaseChannel::with_defaults(transport).execute(receiver.serve());
-        tokio::spawn(requests.for_each(spawn));
+        tokio::spawn(requests.for_each(spawn_reply));
     }
 }
 
-async fn spawn(answer: impl Future<Output = ()> + Send + 'static) {
-    tokio::spawn(answer);
+async fn spawn_reply(reply: impl Future<Output = ()> + Send + 'static) {
+    tokio::spawn(reply);
 }
 
 fn framed(socket: TcpStream) -> tarpc::tokio_util::codec::Framed<TcpStream, LengthDelimitedCodec> {
     let mut codec = LengthDelimitedCodec::new();
-    codec.set_max_frame_length(MOST_BYTES);
+    codec.set_max_frame_length(MAX_BATCH_BYTES);
     tarpc::tokio_util::codec::Framed::new(socket, codec)
 }
 
-/// Sends to one host.
+/// Sends messages to one host.
 struct Link {
     own: Name,
     host: Name,
@@ -110,16 +112,16 @@
 }
 
 impl Link {
-    async fn run(self, mut waiting: mpsc::Receiver<Message>) {
+    async fn run(self, mut messages: mpsc::Receiver<Message>) {
         let mut connection = None;
         loop {
-            let next = tokio::time::timeout(IDLE, waiting.recv()).await;
+            let next = tokio::time::timeout(IDLE_TIMEOUT, messages.recv()).await;
             let Ok(Some(first)) = next else {
                 return;
             };
             let mut batch = vec![first];
-            while batch.len() < BATCH {
-                let Ok(message) = waiting.try_recv() else {
+            while batch.len() < MAX_BATCH_MESSAGES {
+                let Ok(message) = messages.try_recv() else {
                     break;
                 };
                 batch.push(message);
@@ -129,12 +131,12 @@
                 (self.sink)(Incoming::Silent {
                     host: self.host.clone(),
                 });
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(FAILURE_PAUSE).await;
             }
         }
     }
 
-    /// Delivers a batch; says whether the host took it.
+    /// Delivers a batch, connecting first if needed; returns whether the host confirmed it.
     async fn deliver(&self, connection: &mut Option<HostClient>, batch: Vec<Message>) -> bool {
         if connection.is_none() {
             *connection = self.connect().await;
@@ -143,7 +145,7 @@
             return false;
         };
         let mut context = context::current();
-        context.deadline = Instant::now() + CALL_LIMIT;
+        context.deadline = Instant::now() + DELIVERY_TIMEOUT;
         client
             .deliver(context, self.own.clone(), batch)
             .await
@@ -152,7 +154,7 @@
 
     async fn connect(&self) -> Option<HostClient> {
         let connecting = TcpStream::connect(self.address.as_ref());
-        let socket = tokio::time::timeout(CONNECT_LIMIT, connecting)
+        let socket = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
             .await
             .ok()?
             .ok()?;
--- a/crates/alderglade-peer/src/rpc.rs
+++ b/crates/alderglade-peer/src/rpc.rs
@@ -1,4 +1,4 @@
-//! The one remote call.
+//! Definition of the remote call between entry hosts.
 
 // The library's macro generates items that have no doc comments.
 #![allow(missing_docs)]
