--- a/crates/alderglade-caller/src/answer.rs
+++ b/crates/alderglade-caller/src/answer.rs
@@ -140,7 +140,7 @@
 
     /// Sends the closing line, or a complete answer with `status` if nothing was sent yet.
     ///
-    /// Returns whether the caller is still connected.
+    /// Returns false if the caller has disconnected or the answer is already closed.
     pub fn close(&mut self, status: u16, closing: &Closing) -> bool {
         match std::mem::replace(&mut self.state, State::Done) {
             State::Pending(answer) => answer.send(complete_response(status, closing)).is_ok(),
@@ -200,7 +200,7 @@
     fn drop(&mut self) {
         if let State::Streaming(lines) = &self.state {
             // An answer without its closing line must not look complete, so the connection is broken off.
-            // Sending fails if the caller has disconnected, which is fine.
+            // The send fails if the caller has disconnected.
             let _ = lines.try_send(Err(BrokenOff));
         }
     }
