--- a/crates/alderglade-platform/src/settings.rs
+++ b/crates/alderglade-platform/src/settings.rs
@@ -18,7 +18,7 @@
 pub const ROOT_NAME: &str = "root";
 /// Number of parts that workspaces are spread over, so that a change transfers little data.
 const WORKSPACE_PARTS: u64 = 64;
-/// Maximum number of attempts to write the root, each followed by reading it back.
+/// Maximum number of attempts to write the root; after each failed one the root is read back.
 const ROOT_WRITE_ATTEMPTS: u32 = 10;
 /// Pause between two attempts to write the root.
 const ROOT_WRITE_PAUSE: Duration = Duration::from_millis(300);
@@ -97,7 +97,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error if a call to the platform fails; for the root, if all attempts failed.
+/// Returns an error if a call to the platform fails; calls for the root are retried first.
 pub fn apply(
     client: &Client,
     base: &Object<Root>,
