--- a/crates/alderglade-core/src/fleet/backoff.rs
+++ b/crates/alderglade-core/src/fleet/backoff.rs
@@ -25,7 +25,7 @@
 
 impl<K: Hash + Eq> Backoffs<K> {
     /// Starts or extends a peer's backoff. Returns whether the peer had none before.
-    pub fn note(&mut self, peer: K, duration: Duration, now: Time) -> bool {
+    pub fn extend(&mut self, peer: K, duration: Duration, now: Time) -> bool {
         self.backoff_end.retain(|_, backoff_end| *backoff_end > now);
         let backoff_end = self.backoff_end.entry(peer).or_insert(now);
         let had_none = *backoff_end <= now;
@@ -34,7 +34,7 @@
     }
 
     /// Returns how much longer a peer's backoff lasts, or zero if it has none.
-    pub fn left(&self, peer: &K, now: Time) -> Duration {
+    pub fn remaining(&self, peer: &K, now: Time) -> Duration {
         let backoff_end = self.backoff_end.get(peer);
         backoff_end.map_or(Duration::ZERO, |backoff_end| backoff_end.left(now))
     }
--- a/crates/alderglade-core/src/fleet/budget.rs
+++ b/crates/alderglade-core/src/fleet/budget.rs
@@ -72,7 +72,7 @@
     }
 
     /// Records the first send of a request.
-    pub fn request(&mut self, now: Time) {
+    pub fn record_request(&mut self, now: Time) {
         self.trim(now);
         self.requests.push_back(now);
     }
--- a/crates/alderglade-core/src/fleet/config/patch.rs
+++ b/crates/alderglade-core/src/fleet/config/patch.rs
@@ -113,7 +113,7 @@
 
 impl Config {
     /// Returns the configuration that a patch leads to, or `None` if the patch applies to another version.
-    pub fn patched(&self, patch: &Patch) -> Option<Config> {
+    pub fn apply_patch(&self, patch: &Patch) -> Option<Config> {
         if patch.base != self.version {
             return None;
         }
--- a/crates/alderglade-core/src/fleet/directory.rs
+++ b/crates/alderglade-core/src/fleet/directory.rs
@@ -391,7 +391,7 @@
 
     /// Takes a server out of use because its store entry can't be parsed.
     fn mark_unreadable(&mut self, fault: &Fault) {
-        self.faults.note(fault);
+        self.faults.record(fault);
         let Some(entry) = self.entries.get_mut(&fault.name) else {
             return;
         };
--- a/crates/alderglade-core/src/fleet/directory/store_sync.rs
+++ b/crates/alderglade-core/src/fleet/directory/store_sync.rs
@@ -30,7 +30,7 @@
     }
 
     /// Applies a full list of the servers as of `position`. Returns `false` if a later position is known already.
-    pub fn take_list(&mut self, listing: Listing, position: Position, now: Time) -> bool {
+    pub fn apply_listing(&mut self, listing: Listing, position: Position, now: Time) -> bool {
         if self.listed && position < self.position {
             return false;
         }
--- a/crates/alderglade-core/src/fleet/evacuation.rs
+++ b/crates/alderglade-core/src/fleet/evacuation.rs
@@ -31,7 +31,7 @@
     /// The failure domains that are evacuated in the store.
     pub domains: Vec<Name>,
     /// Those whose evacuation is missing from a restored copy of the store.
-    pub lost: Vec<MissingEvacuation>,
+    pub missing: Vec<MissingEvacuation>,
 }
 
 /// A change of one failure domain, as read from the store.
@@ -103,12 +103,12 @@
             return false;
         };
         // Every notice carries a snapshot, and nearly none of them is news.
-        if self.at >= snapshot.at && snapshot.lost.is_empty() {
+        if self.at >= snapshot.at && snapshot.missing.is_empty() {
             return false;
         }
         let before = self.in_force();
         self.replace(snapshot.domains.iter().cloned().collect(), position, now);
-        for MissingEvacuation { domain, left_ms } in &snapshot.lost {
+        for MissingEvacuation { domain, left_ms } in &snapshot.missing {
             let left = Duration::from_millis(u64::from(*left_ms)).min(RESTORED_GRACE);
             let same_history = self.at.is_some_and(|at| at.era == position.era);
             if same_history && !self.domains.contains(domain) {
@@ -141,7 +141,7 @@
         Snapshot {
             at: self.at,
             domains: self.domains.iter().cloned().collect(),
-            lost: lost.collect(),
+            missing: lost.collect(),
         }
     }
 }
--- a/crates/alderglade-core/src/fleet/faults.rs
+++ b/crates/alderglade-core/src/fleet/faults.rs
@@ -41,7 +41,7 @@
 
 impl Faults {
     /// Records an unreadable entry.
-    pub fn note(&mut self, fault: &Fault) {
+    pub fn record(&mut self, fault: &Fault) {
         let known = self.known.get(&fault.name);
         if known == Some(&fault.problem) {
             return;
--- a/crates/alderglade-core/src/fleet/health.rs
+++ b/crates/alderglade-core/src/fleet/health.rs
@@ -44,13 +44,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// It answered correctly.
-    Sound,
+    Success,
     /// It answered with a failure of its own, or broke its answer off.
     Failed,
     /// It broke the request off before any answer.
     Broken,
     /// It could not be reached, or stayed silent.
-    Silent,
+    Unreachable,
     /// Its machine reported that nothing listens at its address.
     Closed,
 }
@@ -133,19 +133,23 @@
     /// Records how a call to a server ended.
     pub fn record(&mut self, server: Key, outcome: Outcome, now: Time) {
         let record = self.records.entry(server).or_default();
-        let failed = if outcome == Outcome::Sound { 0.0 } else { 1.0 };
+        let failed = if outcome == Outcome::Success {
+            0.0
+        } else {
+            1.0
+        };
         record.failure_rate += NEWEST_RESULT_WEIGHT * (failed - record.failure_rate);
         record.closed = outcome == Outcome::Closed;
-        let is_unanswered = matches!(outcome, Outcome::Broken | Outcome::Silent);
+        let is_unanswered = matches!(outcome, Outcome::Broken | Outcome::Unreachable);
         record.unanswered_at = is_unanswered.then_some(now);
         match outcome {
-            Outcome::Sound => record.silences = 0,
+            Outcome::Success => record.silences = 0,
             Outcome::Failed | Outcome::Broken => {
                 if record.failure_rate > FAILURE_RATE_THRESHOLD {
                     record.own_ejected_until = now + BASE_EJECTION_TIME;
                 }
             }
-            Outcome::Silent | Outcome::Closed => {
+            Outcome::Unreachable | Outcome::Closed => {
                 record.silences += 1;
                 record.own_ejected_until = now + ejection_time(record.silences);
             }
@@ -240,7 +244,7 @@
     }
 
     /// Returns the share of a server's recent calls that failed, from `0.0` to `1.0`.
-    pub fn failing(&self, server: Key) -> f64 {
+    pub fn failure_rate(&self, server: Key) -> f64 {
         self.records
             .get(&server)
             .map_or(0.0, |record| record.failure_rate)
--- a/crates/alderglade-core/src/fleet/heartbeat.rs
+++ b/crates/alderglade-core/src/fleet/heartbeat.rs
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Due {
     /// All that it holds.
-    Whole,
+    Full,
     /// What has changed, if anything.
     Changes,
 }
@@ -77,15 +77,15 @@
         let is_over =
             |last: Option<Time>, duration| last.is_none_or(|at| now.since(at) >= duration);
         if is_over(self.last_full_notice, full_notice_interval(interval)) {
-            return Some(Due::Whole);
+            return Some(Due::Full);
         }
         is_over(self.last_notice, interval).then_some(Due::Changes)
     }
 
     /// Records that a notice is sent now.
-    pub fn note(&mut self, due: Due, now: Time) {
+    pub fn record(&mut self, due: Due, now: Time) {
         self.last_notice = Some(now);
-        if due == Due::Whole {
+        if due == Due::Full {
             self.last_full_notice = Some(now);
         }
     }
--- a/crates/alderglade-core/src/fleet/load_table.rs
+++ b/crates/alderglade-core/src/fleet/load_table.rs
@@ -42,7 +42,7 @@
     load: Load,
     /// When `load` last changed.
     changed_at: Time,
-    /// The value of `load.placed` that peers were last sent.
+    /// The value of `load.placed_micros` that peers were last sent.
     reported_placed: u64,
 }
 
@@ -201,7 +201,7 @@
     }
 
     /// Returns what this host's queued prompts need, oldest first, as many as a notice carries.
-    pub fn waiting(&self, now: Time) -> Vec<Demand> {
+    pub fn queued_demands(&self, now: Time) -> Vec<Demand> {
         let entries = self.own_queue.values().take(MAX_REPORTED_DEMANDS);
         entries.map(|entry| entry.demand(now)).collect()
     }
@@ -218,7 +218,7 @@
             let Some(own) = self.own_loads.get_mut(&server) else {
                 return Holding::nothing(server);
             };
-            let placed = own.load.placed;
+            let placed = own.load.placed_micros;
             let added = placed - std::mem::replace(&mut own.reported_placed, placed);
             Holding {
                 server,
@@ -360,7 +360,7 @@
 
     /// Adds to this host's load at a server, and the reading to the engine's progress.
     fn add_own_load(&mut self, server: Key, load: &Load, now: Time) {
-        self.add_reading(server, load.placed, now);
+        self.add_reading(server, load.placed_micros, now);
         self.edit_load(server, now, |held| held.add(load));
     }
 
--- a/crates/alderglade-core/src/fleet/load_table/load.rs
+++ b/crates/alderglade-core/src/fleet/load_table/load.rs
@@ -32,7 +32,7 @@
         }
     }
 
-    /// All classes, in the order of [`Load::at_risk`].
+    /// All classes, in the order of [`Load::value_at_risk`].
     pub const ALL: [PauseClass; PAUSE_CLASSES] =
         [PauseClass::Short, PauseClass::Medium, PauseClass::Long];
 }
@@ -79,42 +79,45 @@
 pub struct Load {
     /// The time for all reading that the host has placed there during its incarnation, in microseconds; never
     /// decreases.
-    pub placed: u64,
+    pub placed_micros: u64,
     /// The memory that its requests need there, in tokens.
     pub memory: i64,
     /// The number of requests sent there that have not ended.
     pub running: i64,
     /// The value of the running answers in each pause class, in thousandths.
-    pub at_risk: [i64; PAUSE_CLASSES],
+    pub value_at_risk: [i64; PAUSE_CLASSES],
 }
 
 impl Load {
     /// Adds all figures of another load. The sums wrap around, so subtracting an absurd load again restores them
     /// exactly.
     pub(super) fn add(&mut self, other: &Load) {
-        self.placed = self.placed.wrapping_add(other.placed);
+        self.placed_micros = self.placed_micros.wrapping_add(other.placed_micros);
         self.memory = self.memory.wrapping_add(other.memory);
         self.running = self.running.wrapping_add(other.running);
-        for (own, more) in self.at_risk.iter_mut().zip(other.at_risk) {
+        for (own, more) in self.value_at_risk.iter_mut().zip(other.value_at_risk) {
             *own = own.wrapping_add(more);
         }
     }
 
-    /// Subtracts what another load holds. `placed` stays, since it never decreases.
+    /// Subtracts what another load holds. `placed_micros` stays, since it never decreases.
     pub(super) fn subtract(&mut self, other: &Load) {
         self.memory = self.memory.wrapping_sub(other.memory);
         self.running = self.running.wrapping_sub(other.running);
-        for (own, less) in self.at_risk.iter_mut().zip(other.at_risk) {
+        for (own, less) in self.value_at_risk.iter_mut().zip(other.value_at_risk) {
             *own = own.wrapping_sub(less);
         }
     }
 
-    /// Returns whether nothing is held, regardless of `placed`.
+    /// Returns whether nothing is held, regardless of `placed_micros`.
     pub fn holds_nothing(&self) -> bool {
-        let Load { placed, .. } = *self;
+        let Load {
+            placed_micros: placed,
+            ..
+        } = *self;
         *self
             == Load {
-                placed,
+                placed_micros: placed,
                 ..Load::default()
             }
     }
--- a/crates/alderglade-core/src/fleet/load_table/notice.rs
+++ b/crates/alderglade-core/src/fleet/load_table/notice.rs
@@ -23,7 +23,7 @@
     pub server: Key,
     /// What is held there.
     pub load: Load,
-    /// The increase of `load.placed` since the last notice of changes. Receivers use it if the sender's total at the
+    /// The increase of `load.placed_micros` since the last notice of changes. Receivers use it if the sender's total at the
     /// server is not known to them yet.
     pub added: u64,
 }
@@ -57,7 +57,7 @@
     /// The number of the sender's prompts that are being read and occupy many engines at once.
     pub multi_engine_prompts: u32,
     /// The prompts queued at the sender.
-    pub waiting: Vec<Demand>,
+    pub queued: Vec<Demand>,
     /// What the sender knows of the store.
     pub store: StoreStatus,
     /// Servers that are leaving, as far as the sender knows.
@@ -105,7 +105,7 @@
         Notice {
             full: false,
             multi_engine_prompts: 0,
-            waiting: Vec::new(),
+            queued: Vec::new(),
             holdings: self.elsewhere(groups).cloned().collect(),
             ..self.clone()
         }
--- a/crates/alderglade-core/src/fleet/load_table/peer.rs
+++ b/crates/alderglade-core/src/fleet/load_table/peer.rs
@@ -71,7 +71,7 @@
         self.last_heard = now;
         self.interval = notice.interval();
         self.multi_engine_prompts = notice.multi_engine_prompts;
-        let demands = notice.waiting.iter();
+        let demands = notice.queued.iter();
         self.queue = demands.map(|demand| Entry::new(*demand, now)).collect();
         self.store = notice.store;
     }
@@ -83,7 +83,7 @@
 
     /// Updates the reading that the peer has placed at a server, and returns the part that is new, in microseconds.
     pub(super) fn update_placed(&mut self, holding: &Holding) -> u64 {
-        let placed = holding.load.placed;
+        let placed = holding.load.placed_micros;
         let before = self.placed.insert(holding.server, placed);
         // Most of the first total for a server was placed long ago.
         let added = before.map_or(holding.added, |before| placed.saturating_sub(before));
--- a/crates/alderglade-core/src/fleet/load_table/reservation.rs
+++ b/crates/alderglade-core/src/fleet/load_table/reservation.rs
@@ -19,9 +19,9 @@
 impl Reservation {
     /// Clears the reading at all servers.
     pub(super) fn without_reading(mut self) -> Reservation {
-        self.load.placed = 0;
+        self.load.placed_micros = 0;
         for helper in &mut self.helpers {
-            helper.load.placed = 0;
+            helper.load.placed_micros = 0;
         }
         self
     }
--- a/crates/alderglade-core/src/fleet/loan.rs
+++ b/crates/alderglade-core/src/fleet/loan.rs
@@ -16,7 +16,7 @@
 
 /// Asks another host for a part of its budget.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Request {
+pub struct LoanRequest {
     /// The number of this request, which the answer repeats.
     pub number: u64,
     /// The service that retries are sent to.
@@ -25,7 +25,7 @@
     pub missing: u32,
 }
 
-/// The answer to a [`Request`].
+/// The answer to a [`LoanRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loan {
     /// The number of the request.
@@ -74,7 +74,7 @@
     }
 
     /// Returns whether a loan may be requested for a service.
-    pub fn may_ask(&self, service: &str, now: Time) -> bool {
+    pub fn may_request(&self, service: &str, now: Time) -> bool {
         self.refused_until
             .get(service)
             .is_none_or(|until| *until <= now)
@@ -87,7 +87,7 @@
     }
 
     /// Creates a request.
-    pub fn ask(&mut self, service: &Name, missing: u32, now: Time) -> Request {
+    pub fn create(&mut self, service: &Name, missing: u32, now: Time) -> LoanRequest {
         self.open.retain(|_, request| request.until >= now);
         self.last_number = self.last_number.wrapping_add(1);
         let request = OpenRequest {
@@ -95,7 +95,7 @@
             until: now + LOAN_LIFETIME,
         };
         self.open.insert(self.last_number, request);
-        Request {
+        LoanRequest {
             number: self.last_number,
             service: service.clone(),
             missing,
--- a/crates/alderglade-core/src/fleet/message.rs
+++ b/crates/alderglade-core/src/fleet/message.rs
@@ -32,11 +32,11 @@
     /// A store update that the receiver should forward to the hosts of its group and failure domain.
     StoreUpdateToForward(StoreUpdate),
     /// Asks for a part of the receiver's retry budget.
-    LoanRequest(loan::Request),
+    LoanRequest(loan::LoanRequest),
     /// The answer to a `LoanRequest`.
     Loan(Loan),
     /// Asks the owner of a server's limit for a grant to send it one request.
-    GrantRequest(rate_limit::Request),
+    GrantRequest(rate_limit::GrantRequest),
     /// The answer to a `GrantRequest`.
     Grant(Grant),
 }
@@ -76,14 +76,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfirmationRequest {
     /// The time of the request on the asking host's clock, in microseconds. The answer repeats it.
-    pub asked_us: u64,
+    pub sent_us: u64,
 }
 
 /// Reports the age of the sender's store state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Confirmation {
     /// The time of the request, on the clock of the host that asked.
-    pub asked_us: u64,
+    pub sent_us: u64,
     /// The age of the sender's store state at the time of the answer, or `None` if it has no confirmed state yet.
     pub age: Option<Duration>,
     /// The version of the sender's configuration.
@@ -98,8 +98,8 @@
     /// Returns the time, on the clock of the host that asked, up to which the sender knew all that the store had
     /// accepted, if known. The transit time of the request is unknown, so the age is subtracted from the time at
     /// which it was sent.
-    pub fn at(&self) -> Option<Time> {
-        self.age.map(|age| Time(self.asked_us) - age)
+    pub fn confirmed_until(&self) -> Option<Time> {
+        self.age.map(|age| Time(self.sent_us) - age)
     }
 }
 
@@ -107,7 +107,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Servers {
     /// The position that the changes follow on.
-    pub after: Position,
+    pub base: Position,
     /// The position that the complete changes lead to.
     pub position: Position,
     /// How much longer entries may be missing from the store although their servers are alive, in
@@ -130,5 +130,5 @@
 
 impl Fragment {
     /// The only part.
-    pub const WHOLE: Fragment = Fragment { index: 0, count: 1 };
+    pub const SINGLE: Fragment = Fragment { index: 0, count: 1 };
 }
--- a/crates/alderglade-core/src/fleet/placement/cost.rs
+++ b/crates/alderglade-core/src/fleet/placement/cost.rs
@@ -8,7 +8,7 @@
 /// from waiting while notices of other hosts' placements are in transit.
 const PACKED_SLOT_SHARE: f64 = 0.75;
 /// The share of its value that a late answer still earns, as the users' sheets state it.
-pub const LATE_WORTH: f64 = 0.25;
+pub const LATE_VALUE: f64 = 0.25;
 /// The extra cost of an engine in another failure domain, in milliseconds.
 pub(super) const OTHER_DOMAIN_COST_MS: f64 = 2.0;
 
@@ -32,7 +32,7 @@
     const SAME_PASS_PART_MS: f64 = 100.0;
     let short = pool
         .iter()
-        .map(|engine| engine.load.at_risk[PauseClass::Short as usize]);
+        .map(|engine| engine.load.value_at_risk[PauseClass::Short as usize]);
     let running = short.sum::<i64>() as f64 / 1_000.0;
     let capacity: f64 = pool.iter().map(|engine| packed_limit(engine)).sum();
     let engines_needed = running / (capacity / pool.len() as f64).max(1.0);
@@ -47,9 +47,9 @@
     let after = before + part;
     PauseClass::ALL
         .iter()
-        .zip(engine.load.at_risk)
+        .zip(engine.load.value_at_risk)
         .map(|(class, thousandths)| {
-            let value_at_risk = thousandths as f64 / 1_000.0 * (1.0 - LATE_WORTH);
+            let value_at_risk = thousandths as f64 / 1_000.0 * (1.0 - LATE_VALUE);
             let tolerated = engine.pauses.tolerated_ms(*class);
             value_at_risk
                 * (miss_probability(after, tolerated) - miss_probability(before, tolerated))
--- a/crates/alderglade-core/src/fleet/placement/hold_policy.rs
+++ b/crates/alderglade-core/src/fleet/placement/hold_policy.rs
@@ -3,7 +3,7 @@
 //! A prompt with plenty of time may cause only little harm to others; the limit rises as its time runs out. A prompt
 //! that is still held after a certain share of its time is given up, so that its caller still has time to retry.
 
-use super::cost::{LATE_WORTH, late_probability};
+use super::cost::{LATE_VALUE, late_probability};
 use super::parts::CostedPlan;
 use super::timing::to_millis;
 use super::{Plan, Reason, ServiceState, Work};
@@ -36,7 +36,7 @@
         return Some(Reason::Busy);
     }
     let reading_cost = ENGINE_SECOND_VALUE * state.pressure * full_read / 1_000.0;
-    let is_too_costly = costed.harm + reading_cost > cost_share * work.worth;
+    let is_too_costly = costed.harm + reading_cost > cost_share * work.value;
     is_too_costly.then_some(Reason::Harm)
 }
 
@@ -51,7 +51,7 @@
 fn can_be_in_time_later(work: &Work, plan: &Plan, fastest: f64) -> bool {
     /// The probability of being late above which a plan counts as late.
     const LATE_THRESHOLD: f64 = 0.5;
-    let is_late = late_probability(work, to_millis(plan.first_event)) > LATE_THRESHOLD;
+    let is_late = late_probability(work, to_millis(plan.time_to_first_event)) > LATE_THRESHOLD;
     is_late && late_probability(work, fastest) < LATE_THRESHOLD
 }
 
@@ -78,7 +78,7 @@
     const INITIAL_SHARE: f64 = 0.3;
     /// The share that is acceptable when the time has run out.
     const FINAL_SHARE: f64 = 1.2;
-    let first_event = to_millis(plan.first_event);
+    let first_event = to_millis(plan.time_to_first_event);
     let waited = to_millis(work.waited);
     let last_timely_start = to_millis(work.objective) * PLANNED_SHARE - first_event;
     let last_start = waited + first_event_time_left(work) - first_event;
@@ -91,7 +91,7 @@
     let value_share = if waited < last_timely_start {
         1.0
     } else {
-        LATE_WORTH
+        LATE_VALUE
     };
     value_share * (INITIAL_SHARE + (FINAL_SHARE - INITIAL_SHARE) * spent)
 }
--- a/crates/alderglade-core/src/fleet/placement/mod.rs
+++ b/crates/alderglade-core/src/fleet/placement/mod.rs
@@ -20,7 +20,7 @@
 mod timing;
 mod wait;
 
-pub use cost::LATE_WORTH;
+pub use cost::LATE_VALUE;
 pub use demand::demand;
 pub use wait::{Reason, Wait};
 
@@ -55,7 +55,7 @@
     /// Whether the caller was refused before and has retried.
     pub is_retry: bool,
     /// The value of the answer, on a scale where an ordinary short reply has a value of about one.
-    pub worth: f64,
+    pub value: f64,
     /// Servers that have failed the prompt.
     pub avoid: Vec<Key>,
     /// Servers that read the prompt together and produced nothing. One of them may be faulty, but it isn't known which.
@@ -103,9 +103,9 @@
     /// Memory to reserve before the prompt is sent; empty if it fits into the primary engine.
     pub shares: Vec<Share>,
     /// The reading time of a part, in milliseconds.
-    pub part: f64,
+    pub part_ms: f64,
     /// The expected time from now to the first event.
-    pub first_event: Duration,
+    pub time_to_first_event: Duration,
     /// Whether the prompt occupies many engines at once.
     pub multi_engine: bool,
 }
@@ -146,8 +146,8 @@
     (mean / FULL_LOAD_MS).min(1.0)
 }
 
-/// Estimates the value of a prompt from its length, on the scale of [`Work::worth`].
-pub fn worth(prompt: u64) -> f64 {
+/// Estimates the value of a prompt from its length, on the scale of [`Work::value`].
+pub fn value(prompt: u64) -> f64 {
     /// The value of a prompt regardless of its length.
     const BASE: f64 = 1.0;
     /// The value that a thousand tokens add. Both constants fit the users' sheets, where prompts of 5, 45 and 133
--- a/crates/alderglade-core/src/fleet/placement/parts.rs
+++ b/crates/alderglade-core/src/fleet/placement/parts.rs
@@ -1,7 +1,7 @@
 //! Plans a long prompt over a given number of engines: which one answers, which ones read a part, and which ones
 //! reserve memory. Computes the cost of the plan.
 
-use super::cost::{self, LATE_WORTH};
+use super::cost::{self, LATE_VALUE};
 use super::{Engine, MAX_PARTS, Plan, Share, Work, hold_policy, timing};
 use crate::fleet::incarnation::Key;
 
@@ -53,8 +53,8 @@
         primary: primary.id,
         helpers: helpers(chosen, primary),
         shares,
-        part,
-        first_event: timing::from_millis(first_event),
+        part_ms: part,
+        time_to_first_event: timing::from_millis(first_event),
         multi_engine: part > MULTI_ENGINE_PART_MS,
     };
     Some(CostedPlan {
@@ -88,7 +88,7 @@
     chosen: &[&Engine],
     part: f64,
 ) -> Option<&'a Engine> {
-    /// The maximum loss of value of running answers, on the scale of [`Work::worth`].
+    /// The maximum loss of value of running answers, on the scale of [`Work::value`].
     const MAX_HARM: f64 = 0.05;
     /// How much later than on the slowest chosen engine the part may be read, in milliseconds: about one pass.
     const MAX_EXTRA_DELAY_MS: f64 = 60.0;
@@ -148,10 +148,10 @@
 
 /// Returns the value that the prompt's own answer loses if its first event comes after `first_event` milliseconds.
 fn own_loss(work: &Work, first_event: f64) -> f64 {
-    let late = cost::late_probability(work, first_event) * (1.0 - LATE_WORTH);
+    let late = cost::late_probability(work, first_event) * (1.0 - LATE_VALUE);
     let latest = hold_policy::first_event_time_left(work).max(1.0);
-    let missed = cost::miss_probability(first_event * FIRST_EVENT_OVERRUN, latest) * LATE_WORTH;
-    work.worth * (late + missed + DELAY_WEIGHT * first_event / timing::to_millis(work.objective))
+    let missed = cost::miss_probability(first_event * FIRST_EVENT_OVERRUN, latest) * LATE_VALUE;
+    work.value * (late + missed + DELAY_WEIGHT * first_event / timing::to_millis(work.objective))
 }
 
 /// Returns the chosen engines that read a part and don't answer.
--- a/crates/alderglade-core/src/fleet/placement/short.rs
+++ b/crates/alderglade-core/src/fleet/placement/short.rs
@@ -45,8 +45,8 @@
         primary: best.id,
         helpers: Vec::new(),
         shares: Vec::new(),
-        part,
-        first_event: timing::from_millis(first_event),
+        part_ms: part,
+        time_to_first_event: timing::from_millis(first_event),
         multi_engine: false,
     })
 }
--- a/crates/alderglade-core/src/fleet/quarantine.rs
+++ b/crates/alderglade-core/src/fleet/quarantine.rs
@@ -6,15 +6,15 @@
 //!
 //! A crashing server takes all its requests with it, and these often meet again at the next server because all hosts
 //! rank the same one best. Having run on a crashed server is therefore no proof. A request is found guilty of
-//! [`GUILTY_CRASHES`] crashes only if no other request explains them. Requests with the most crashes are evaluated
+//! `GUILTY_CRASHES` crashes only if no other request explains them. Requests with the most crashes are evaluated
 //! first, and their crashes are then explained for all other requests that ran beside them. Of two requests with the
-//! same crashes, neither is barred until another crash separates them or [`CERTAIN_CRASHES`] is reached. Nor is a
-//! request barred if as many servers crash without it at the same time, as when a rack fails. At [`MAX_CRASHES`] a
+//! same crashes, neither is barred until another crash separates them or `CERTAIN_CRASHES` is reached. Nor is a
+//! request barred if as many servers crash without it at the same time, as when a rack fails. At `MAX_CRASHES` a
 //! request is barred regardless of any other explanation. A completed answer clears its request of all earlier crashes
-//! and, for [`CLEARED_AFTER_SUCCESS`], of later ones: a frequent request is present at many crashes.
+//! and, for `CLEARED_AFTER_SUCCESS`, of later ones: a frequent request is present at many crashes.
 //!
 //! Findings are only ever added, and each refers to one incarnation of a server, so late, repeated or reordered
-//! findings lead to the same result. Crashes are evaluated once all hosts have reported theirs ([`SETTLE_DELAY`]);
+//! findings lead to the same result. Crashes are evaluated once all hosts have reported theirs (`SETTLE_DELAY`);
 //! requests that depend on the evaluation wait for it.
 
 mod evidence;
@@ -90,7 +90,7 @@
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspects: BTreeMap<Fingerprint, Suspect>,
-    /// When each request was last answered completely, within the last [`CLEARED_AFTER_SUCCESS`].
+    /// When each request was last answered completely, within the last `CLEARED_AFTER_SUCCESS`.
     succeeded: BTreeMap<Fingerprint, Time>,
     /// When each server crashed, regardless of its requests. Clearing a request doesn't undo a crash.
     server_crashes: CrashTimes,
--- a/crates/alderglade-core/src/fleet/rate_limit.rs
+++ b/crates/alderglade-core/src/fleet/rate_limit.rs
@@ -65,7 +65,7 @@
 
 /// Asks the owner of a limit for a grant to send one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Request {
+pub struct GrantRequest {
     /// The number of this request, which the answer repeats.
     pub number: u64,
     /// The host that asks.
@@ -86,10 +86,10 @@
     /// The owner.
     pub owner: &'a str,
     /// Whether the host that is asked hears from a majority of the hosts.
-    pub majority: bool,
+    pub hears_majority: bool,
 }
 
-/// The answer to a [`Request`].
+/// The answer to a [`GrantRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// The number of the request.
@@ -100,7 +100,7 @@
 
 impl Grant {
     /// Creates the answer of a host that doesn't own the limit.
-    pub fn not_owner(request: &Request) -> Grant {
+    pub fn not_owner(request: &GrantRequest) -> Grant {
         Grant {
             number: request.number,
             wait_ms: NOT_OWNER_WAIT.as_millis() as u32,
@@ -223,7 +223,7 @@
         let Some(rate) = report.rate() else {
             return false;
         };
-        self.observe_cold(report.server, rate, report.left(), false, now)
+        self.observe_cold(report.server, rate, report.remaining(), false, now)
     }
 
     /// Returns reports of the cold servers that this host knows from themselves or the store, no more than fit a
@@ -285,17 +285,17 @@
         host: &Name,
         number: u64,
         now: Time,
-    ) -> Option<Request> {
+    ) -> Option<GrantRequest> {
         self.effective_limit(server, now)?;
         Some(self.request(server, host, number, now))
     }
 
     /// Creates a request for a grant, also if this host knows no limit: the owner may.
-    pub fn request(&self, server: Key, host: &Name, number: u64, now: Time) -> Request {
+    pub fn request(&self, server: Key, host: &Name, number: u64, now: Time) -> GrantRequest {
         let known = self.known.get(&server).filter(|known| known.rate.is_some());
         let cold = self.cold.get(&server);
         let cold = cold.filter(|cold| cold.rate_at(now).is_some());
-        Request {
+        GrantRequest {
             number,
             host: host.clone(),
             server,
@@ -314,7 +314,7 @@
     }
 
     /// Answers a host's request for a grant.
-    pub fn grant(&mut self, request: &Request, view: &OwnerView<'_>, now: Time) -> Grant {
+    pub fn grant(&mut self, request: &GrantRequest, view: &OwnerView<'_>, now: Time) -> Grant {
         let server = request.server;
         if let Some(report) = &request.report {
             self.apply_report(report, now);
@@ -326,7 +326,7 @@
         let wait = match self.effective_limit(server, now) {
             None => Duration::ZERO,
             Some(_) if view.owner != view.own => NOT_OWNER_WAIT,
-            Some(_) if is_cold && !view.majority => NOT_OWNER_WAIT,
+            Some(_) if is_cold && !view.hears_majority => NOT_OWNER_WAIT,
             Some(rate) => {
                 let limited = self.rate(server).is_some();
                 let bucket = self.buckets.entry(server);
--- a/crates/alderglade-core/src/fleet/rate_limit/cold.rs
+++ b/crates/alderglade-core/src/fleet/rate_limit/cold.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns how much longer the server is cold: at most a minute, whatever was reported.
-    pub fn left(&self) -> Duration {
+    pub fn remaining(&self) -> Duration {
         const MAX_COLD_TIME: Duration = Duration::from_secs(60);
         Duration::from_millis(u64::from(self.left_ms)).min(MAX_COLD_TIME)
     }
--- a/crates/alderglade-core/src/fleet/reassembly.rs
+++ b/crates/alderglade-core/src/fleet/reassembly.rs
@@ -66,7 +66,7 @@
     /// Adds a fragment. Returns all changes of the message once it is complete.
     pub fn take(&mut self, servers: &Servers) -> Option<Vec<Change>> {
         let Servers {
-            after,
+            base: after,
             position,
             fragment,
             ..
--- a/crates/alderglade-core/src/fleet/relay.rs
+++ b/crates/alderglade-core/src/fleet/relay.rs
@@ -82,13 +82,13 @@
     /// The digest of the backend servers that it knows.
     pub servers: u64,
     /// The age of its store state, if it has one.
-    pub age: Option<Duration>,
+    pub store_age: Option<Duration>,
     /// The time within which a revoked key must be refused.
-    pub bound: Option<Duration>,
+    pub revocation_bound: Option<Duration>,
     /// Whether its last call to the store failed.
-    pub lost: bool,
+    pub last_call_failed: bool,
     /// Whether the store has listed the hosts. From then on they receive this host's notices.
-    pub listed: bool,
+    pub hosts_listed: bool,
 }
 
 impl LocalStatus<'_> {
@@ -139,7 +139,8 @@
 
     /// Returns whether the host can't rely on the watchers: its state is stale, or its last call to the store failed.
     fn needs_store(&self) -> bool {
-        self.lost || exceeds_bound(self.age, self.bound, STALE_FRACTION)
+        self.last_call_failed
+            || exceeds_bound(self.store_age, self.revocation_bound, STALE_FRACTION)
     }
 }
 
@@ -228,7 +229,7 @@
         now: Time,
     ) -> Role {
         let first_decision = *self.first_decision.get_or_insert(now);
-        if !own.listed && now.since(first_decision) < HOST_LIST_TIMEOUT {
+        if !own.hosts_listed && now.since(first_decision) < HOST_LIST_TIMEOUT {
             return self.role;
         }
         let listening_since = *self.listening_since.get_or_insert(now);
--- a/crates/alderglade-core/src/fleet/life.rs
+++ b/crates/alderglade-core/src/fleet/request_state.rs
@@ -20,16 +20,16 @@
     may_have_run: bool,
 }
 
-/// The life of a request in one of its states.
+/// A request in one of its states.
 #[derive(Debug)]
-pub struct Life<S> {
+pub struct RequestState<S> {
     state: S,
 }
 
-impl Life<Waiting> {
-    /// Creates the life of a request that was not sent to any server.
-    pub fn new() -> Life<Waiting> {
-        Life {
+impl RequestState<Waiting> {
+    /// Creates the state of a request that was not sent to any server.
+    pub fn new() -> RequestState<Waiting> {
+        RequestState {
             state: Waiting {
                 may_have_run: false,
             },
@@ -37,8 +37,8 @@
     }
 
     /// Records that the request is about to be sent.
-    pub fn send(self) -> Life<Sent> {
-        Life {
+    pub fn send(self) -> RequestState<Sent> {
+        RequestState {
             state: Sent {
                 may_have_run: self.state.may_have_run,
             },
@@ -63,30 +63,30 @@
     }
 }
 
-impl Default for Life<Waiting> {
-    fn default() -> Life<Waiting> {
-        Life::new()
+impl Default for RequestState<Waiting> {
+    fn default() -> RequestState<Waiting> {
+        RequestState::new()
     }
 }
 
-impl Life<Sent> {
+impl RequestState<Sent> {
     /// Records that no byte of the request was sent.
-    pub fn never_sent(self) -> Life<Waiting> {
+    pub fn never_sent(self) -> RequestState<Waiting> {
         self.wait_again(false)
     }
 
     /// Records that the server stated that it did not run the request.
-    pub fn disclaimed(self) -> Life<Waiting> {
+    pub fn disclaimed(self) -> RequestState<Waiting> {
         self.wait_again(false)
     }
 
     /// Records that the request ran, or that it is unknown whether it did.
-    pub fn lost(self) -> Life<Waiting> {
+    pub fn lost(self) -> RequestState<Waiting> {
         self.wait_again(true)
     }
 
-    fn wait_again(self, may_have_run: bool) -> Life<Waiting> {
-        Life {
+    fn wait_again(self, may_have_run: bool) -> RequestState<Waiting> {
+        RequestState {
             state: Waiting {
                 may_have_run: self.state.may_have_run || may_have_run,
             },
--- a/crates/alderglade-core/src/fleet/slowdown.rs
+++ b/crates/alderglade-core/src/fleet/slowdown.rs
@@ -35,15 +35,15 @@
 
 /// Detects a slow engine from the pauses of one answer.
 #[derive(Debug, Default)]
-pub struct Suspicion {
+pub struct PauseMonitor {
     /// Long pauses in a row.
     long_pauses: u32,
 }
 
-impl Suspicion {
+impl PauseMonitor {
     /// Records a pause. `idle_pass` is the length of a pass without prefill, in the same unit. Returns whether the
     /// engine should be asked how slow it is.
-    pub fn note(&mut self, pause: f64, idle_pass: f64) -> bool {
+    pub fn record_pause(&mut self, pause: f64, idle_pass: f64) -> bool {
         if pause < LONG_PAUSE_FACTOR * idle_pass {
             self.long_pauses = 0;
             return false;
--- a/crates/alderglade-core/tests/testsuite/fleet/backoff.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/backoff.rs
@@ -11,18 +11,18 @@
 fn a_backoff_lasts_until_the_latest_time_stated() {
     let at = Time::from_millis;
     let mut backoffs = Backoffs::default();
-    assert!(backoffs.note(key("a"), DURATION, at(1_000)));
+    assert!(backoffs.extend(key("a"), DURATION, at(1_000)));
     assert!(
-        !backoffs.note(key("a"), DURATION / 3, at(1_500)),
+        !backoffs.extend(key("a"), DURATION / 3, at(1_500)),
         "the backoff continues"
     );
-    assert_eq!(backoffs.left(&key("a"), at(2_000)).as_millis(), 2_000);
-    assert!(!backoffs.note(key("a"), DURATION, at(3_000)));
-    assert_eq!(backoffs.left(&key("a"), at(5_000)).as_millis(), 1_000);
-    assert!(backoffs.left(&key("a"), at(6_000)).is_zero());
-    assert!(backoffs.left(&key("b"), at(2_000)).is_zero());
+    assert_eq!(backoffs.remaining(&key("a"), at(2_000)).as_millis(), 2_000);
+    assert!(!backoffs.extend(key("a"), DURATION, at(3_000)));
+    assert_eq!(backoffs.remaining(&key("a"), at(5_000)).as_millis(), 1_000);
+    assert!(backoffs.remaining(&key("a"), at(6_000)).is_zero());
+    assert!(backoffs.remaining(&key("b"), at(2_000)).is_zero());
     assert!(
-        backoffs.note(key("a"), DURATION, at(7_000)),
+        backoffs.extend(key("a"), DURATION, at(7_000)),
         "a new backoff begins"
     );
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/budget.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/budget.rs
@@ -23,7 +23,7 @@
             now = now + Duration::from_millis(u.int_in_range(0..=12)?);
             let host = u.int_in_range(0..=hosts - 1)?;
             if u.ratio(1, 4)? {
-                budgets[host].request(now);
+                budgets[host].record_request(now);
                 requests.push(now);
             }
             if budgets[host].spend(now, hosts) {
--- a/crates/alderglade-core/tests/testsuite/fleet/cold.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/cold.rs
@@ -117,7 +117,7 @@
         let view = OwnerView {
             own: &granting.name,
             owner: &own_owner,
-            majority,
+            hears_majority: majority,
         };
         let wait = granting.limits.grant(&request, &view, self.now).wait();
         if wait.is_zero() {
@@ -244,7 +244,7 @@
     let view = OwnerView {
         own: "other",
         owner: "other",
-        majority: true,
+        hears_majority: true,
     };
     other.grant(&request, &view, now);
     assert_eq!(other.effective_limit(key("e"), now), Some(rate));
--- a/crates/alderglade-core/tests/testsuite/fleet/config.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/config.rs
@@ -179,7 +179,7 @@
     each_seed(200, |u| {
         let (old, new) = (any_config(u, 3)?, any_config(u, 9)?);
         let patch = Patch::between(&old, &new).expect("both use keys");
-        assert_eq!(old.patched(&patch), Some(new));
+        assert_eq!(old.apply_patch(&patch), Some(new));
         Ok(())
     });
 }
@@ -194,9 +194,9 @@
     };
     let (newer, newest) = (at(8), at(9));
     let patch = Patch::between(&newer, &newest).expect("both use keys");
-    assert_eq!(old.patched(&patch), None);
-    assert_eq!(newest.patched(&patch), None);
-    assert_eq!(newer.patched(&patch), Some(newest));
+    assert_eq!(old.apply_patch(&patch), None);
+    assert_eq!(newest.apply_patch(&patch), None);
+    assert_eq!(newer.apply_patch(&patch), Some(newest));
 }
 
 #[test]
--- a/crates/alderglade-core/tests/testsuite/fleet/fanout.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/fanout.rs
@@ -186,7 +186,7 @@
     /// Returns the load of the server as a host sees it.
     fn view(&self, host: &Host) -> Load {
         Load {
-            placed: 0,
+            placed_micros: 0,
             ..host.loads.total(key("e"))
         }
     }
--- a/crates/alderglade-core/tests/testsuite/fleet/faults.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/faults.rs
@@ -12,18 +12,18 @@
 #[test]
 fn an_entry_is_reported_once_per_change() {
     let mut faults = Faults::default();
-    faults.note(&fault("a", "no state"));
-    faults.note(&fault("a", "no state"));
+    faults.record(&fault("a", "no state"));
+    faults.record(&fault("a", "no state"));
     assert_eq!(faults.take_news().faults, [fault("a", "no state")]);
-    faults.note(&fault("a", "no state"));
+    faults.record(&fault("a", "no state"));
     assert_eq!(faults.take_news(), News::default());
-    faults.note(&fault("a", "no address"));
+    faults.record(&fault("a", "no address"));
     assert_eq!(faults.take_news().faults, [fault("a", "no address")]);
     faults.clear("a");
     faults.clear("a");
     faults.clear("unknown");
     assert_eq!(faults.take_news().resolved, ["a".into()]);
-    faults.note(&fault("a", "no address"));
+    faults.record(&fault("a", "no address"));
     assert_eq!(
         faults.take_news().faults.len(),
         1,
@@ -35,7 +35,7 @@
 fn entries_missing_from_a_list_are_resolved() {
     let mut faults = Faults::default();
     let both = [fault("a", "none"), fault("b", "none")];
-    both.iter().for_each(|fault| faults.note(fault));
+    both.iter().for_each(|fault| faults.record(fault));
     faults.take_news();
     faults.retain(&both[1..]);
     assert_eq!(faults.take_news().resolved, ["a".into()]);
@@ -46,7 +46,7 @@
 fn of_many_entries_a_few_are_reported_and_all_are_counted() {
     let mut faults = Faults::default();
     for number in 0..100_000 {
-        faults.note(&fault(&format!("e{number}"), "none"));
+        faults.record(&fault(&format!("e{number}"), "none"));
     }
     let news = faults.take_news();
     assert!(news.faults.len() < 10);
--- a/crates/alderglade-core/tests/testsuite/fleet/group.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/group.rs
@@ -149,10 +149,10 @@
         division,
         config: 1,
         servers: 1,
-        age: Some(Duration::from_secs(1)),
-        bound: Some(Duration::from_secs(5)),
-        lost: false,
-        listed: true,
+        store_age: Some(Duration::from_secs(1)),
+        revocation_bound: Some(Duration::from_secs(5)),
+        last_call_failed: false,
+        hosts_listed: true,
     }
 }
 
--- a/crates/alderglade-core/tests/testsuite/fleet/health.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/health.rs
@@ -8,13 +8,13 @@
 fn the_ejection_of_a_silent_server_grows_longer() {
     let mut health = Health::default();
     let id = key("a");
-    health.record(id, Outcome::Silent, Time(0));
+    health.record(id, Outcome::Unreachable, Time(0));
     assert!(health.is_suspect(key("a"), "north", Time::from_millis(499)));
     assert!(!health.is_suspect(key("a"), "north", Time::from_millis(500)));
-    health.record(id, Outcome::Silent, Time::from_millis(500));
+    health.record(id, Outcome::Unreachable, Time::from_millis(500));
     assert!(health.is_suspect(key("a"), "north", Time::from_millis(1_499)));
     for _ in 0..20 {
-        health.record(id, Outcome::Silent, Time(0));
+        health.record(id, Outcome::Unreachable, Time(0));
     }
     assert!(!health.is_suspect(key("a"), "north", Time::from_millis(2_000)));
 }
@@ -37,14 +37,14 @@
     for _ in 0..6 {
         health.record(id, Outcome::Failed, Time(0));
     }
-    let worst = health.failing(key("a"));
+    let worst = health.failure_rate(key("a"));
     for _ in 0..20 {
-        health.record(id, Outcome::Sound, Time(0));
+        health.record(id, Outcome::Success, Time(0));
     }
-    assert!(health.failing(key("a")) < worst / 10.0);
-    assert_eq!(health.failing(key("unknown")), 0.0);
+    assert!(health.failure_rate(key("a")) < worst / 10.0);
+    assert_eq!(health.failure_rate(key("unknown")), 0.0);
     health.retain(|_| false);
-    assert_eq!(health.failing(key("a")), 0.0);
+    assert_eq!(health.failure_rate(key("a")), 0.0);
 }
 
 #[test]
@@ -107,7 +107,7 @@
     let (closed, silent) = (key("a"), key("b"));
     let mut finder = Health::default();
     finder.record(closed, Outcome::Closed, Time(0));
-    finder.record(silent, Outcome::Silent, Time(0));
+    finder.record(silent, Outcome::Unreachable, Time(0));
     let sent = Time::from_millis(100);
     let reports = finder.ejections_to_report(sent);
     let mut other = Health::default();
@@ -124,7 +124,7 @@
         "the silence may lie in the finder's link"
     );
     assert!(other.ejections_to_report(sent).is_empty());
-    finder.record(closed, Outcome::Sound, Time::from_millis(200));
+    finder.record(closed, Outcome::Success, Time::from_millis(200));
     assert!(
         finder
             .ejections_to_report(Time::from_millis(200))
@@ -179,10 +179,10 @@
     receiver.apply_unanswered(&"h2".into(), &"north".into(), &[unresponsive], Time(0));
     send_report(&sender, &mut receiver, Time(0));
     assert!(receiver.is_suspect(unresponsive, "north", Time(0)));
-    sender.record(unresponsive, Outcome::Sound, Time(1));
+    sender.record(unresponsive, Outcome::Success, Time(1));
     send_report(&sender, &mut receiver, Time(1));
     assert!(!receiver.is_suspect(unresponsive, "north", Time(1)));
-    sender.record(unresponsive, Outcome::Silent, Time(2));
+    sender.record(unresponsive, Outcome::Unreachable, Time(2));
     assert!(
         sender
             .unanswered_to_report(Time::from_millis(2_100))
@@ -242,7 +242,7 @@
             hosts[host].record(engine(chosen), Outcome::Broken, now);
             notices.push((at, host));
         } else {
-            hosts[host].record(engine(chosen), Outcome::Sound, now);
+            hosts[host].record(engine(chosen), Outcome::Success, now);
             busy_until[chosen].push(at + ANSWER_MS);
         }
     }
--- a/crates/alderglade-core/tests/testsuite/fleet/heartbeat.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/heartbeat.rs
@@ -33,10 +33,10 @@
     let interval = Duration::from_millis(750);
     let mut schedule = Schedule::default();
     let start = Time::from_millis(10);
-    assert_eq!(schedule.due(interval, start), Some(Due::Whole));
-    schedule.note(Due::Whole, start);
+    assert_eq!(schedule.due(interval, start), Some(Due::Full));
+    schedule.record(Due::Full, start);
     let change = start + Duration::from_millis(500);
-    schedule.note(Due::Changes, change);
+    schedule.record(Due::Changes, change);
     assert_eq!(schedule.due(interval, start + interval), None);
     assert_eq!(
         schedule.due(interval, change + interval),
@@ -54,10 +54,10 @@
         let now = Time::from_millis(millis);
         match schedule.due(interval, now) {
             Some(due) => {
-                full_notices += u32::from(due == Due::Whole);
-                schedule.note(due, now);
+                full_notices += u32::from(due == Due::Full);
+                schedule.record(due, now);
             }
-            None => schedule.note(Due::Changes, now),
+            None => schedule.record(Due::Changes, now),
         }
     }
     assert_eq!(full_notices, 10);
--- a/crates/alderglade-core/tests/testsuite/fleet/incarnation.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/incarnation.rs
@@ -216,12 +216,12 @@
     let (first, second) = (born("a", 1).key(), born("a", 2).key());
     let mut health = Health::default();
     for _ in 0..9 {
-        health.record(first, Outcome::Silent, Time(0));
+        health.record(first, Outcome::Unreachable, Time(0));
     }
     health.eject(first, Time(0));
     assert!(health.is_suspect(first, "north", Time(1)));
     assert!(!health.is_suspect(second, "north", Time(1)));
-    assert_eq!(health.failing(second), 0.0);
+    assert_eq!(health.failure_rate(second), 0.0);
 
     let mut loads = LoadTable::default();
     loads.set_engines([(first, profile())].into());
--- a/crates/alderglade-core/tests/testsuite/fleet/load_table.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/load_table.rs
@@ -23,7 +23,7 @@
     Notice {
         full,
         multi_engine_prompts: loads.own_multi_engine_prompts(),
-        waiting: loads.waiting(Time(0)),
+        queued: loads.queued_demands(Time(0)),
         holdings: if full {
             loads.all_holdings(Time(0))
         } else {
@@ -318,7 +318,7 @@
         for number in 0..=4 {
             let server = format!("e{number}");
             let held = |loads: &LoadTable| Load {
-                placed: 0,
+                placed_micros: 0,
                 ..loads.total(key(&server))
             };
             assert_eq!(held(&receiver), held(&sender));
--- a/crates/alderglade-core/tests/testsuite/fleet/loan.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/loan.rs
@@ -4,7 +4,7 @@
 use super::chance::Chance;
 use alderglade_core::Name;
 use alderglade_core::fleet::budget::{Bound, Budget, LOAN_LIFETIME, UNITS_PER_RETRY};
-use alderglade_core::fleet::loan::{Loan, LoanRequests, Request};
+use alderglade_core::fleet::loan::{Loan, LoanRequest, LoanRequests};
 use alderglade_core::time::Time;
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 /// What hosts send to each other.
 #[derive(Clone)]
 enum Message {
-    Request(Request),
+    Request(LoanRequest),
     Loan(Loan),
 }
 
@@ -148,7 +148,7 @@
             return true;
         }
         let missing = host.budget.missing(self.now, count);
-        let request = host.loan_requests.ask(&service(), missing, self.now);
+        let request = host.loan_requests.create(&service(), missing, self.now);
         let to = self.chance.host(count);
         self.send(from, to, &Message::Request(request));
         false
@@ -162,7 +162,7 @@
         let host = self.chance.host(count);
         match self.chance.below(200) {
             0..=49 => {
-                self.hosts[host].budget.request(self.now);
+                self.hosts[host].budget.record_request(self.now);
                 self.requests.push(self.now);
             }
             50 => self.partition = self.chance.host(count),
@@ -269,7 +269,7 @@
     let mut loan_requests = LoanRequests::new(7);
     let ask = |loan_requests: &mut LoanRequests| {
         loan_requests
-            .ask(&service(), UNITS_PER_RETRY, Time(0))
+            .create(&service(), UNITS_PER_RETRY, Time(0))
             .number
     };
     let number = ask(&mut loan_requests);
@@ -330,9 +330,9 @@
 #[test]
 fn no_loan_is_requested_for_a_while_after_a_refusal() {
     let mut loan_requests = LoanRequests::new(0);
-    assert!(loan_requests.may_ask("llm", Time(0)));
+    assert!(loan_requests.may_request("llm", Time(0)));
     loan_requests.record_refusal(&service(), Time(0));
-    assert!(!loan_requests.may_ask("llm", Time::from_millis(199)));
-    assert!(loan_requests.may_ask("llm", Time::from_millis(200)));
-    assert!(loan_requests.may_ask("calls", Time(0)));
+    assert!(!loan_requests.may_request("llm", Time::from_millis(199)));
+    assert!(loan_requests.may_request("llm", Time::from_millis(200)));
+    assert!(loan_requests.may_request("calls", Time(0)));
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/mod.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/mod.rs
@@ -18,7 +18,6 @@
 mod heartbeat;
 mod homes;
 mod incarnation;
-mod life;
 mod load_table;
 mod loan;
 mod message;
@@ -30,6 +29,7 @@
 mod rate_limit;
 mod reassembly;
 mod relay;
+mod request_state;
 mod restored;
 mod slowdown;
 mod sse;
@@ -85,7 +85,7 @@
         interval_ms: 250,
         full: false,
         multi_engine_prompts: 0,
-        waiting: Vec::new(),
+        queued: Vec::new(),
         store: StoreStatus::default(),
         leaving: Vec::new(),
         ejections: Vec::new(),
@@ -103,10 +103,10 @@
     Reservation {
         primary: key(server),
         load: Load {
-            placed: reading,
+            placed_micros: reading,
             memory,
             running: 1,
-            at_risk: [1_300, 0, 0],
+            value_at_risk: [1_300, 0, 0],
         },
         helpers: Vec::new(),
         multi_engine: false,
--- a/crates/alderglade-core/tests/testsuite/fleet/placement.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/placement.rs
@@ -5,7 +5,7 @@
 use alderglade_core::fleet::incarnation::Key;
 use alderglade_core::fleet::load_table::{Load, Pauses};
 use alderglade_core::fleet::placement::{
-    Decision, Engine, MAX_PARTS, Plan, ServiceState, Work, choose, pressure, worth,
+    Decision, Engine, MAX_PARTS, Plan, ServiceState, Work, choose, pressure, value,
 };
 use alderglade_core::fleet::progress::Backlog;
 use std::time::Duration;
@@ -47,7 +47,7 @@
         waited: Duration::ZERO,
         time_left: Duration::from_secs(10),
         is_retry: false,
-        worth: worth(5_000),
+        value: value(5_000),
         avoid: Vec::new(),
         stalled: Vec::new(),
         random: None,
@@ -61,7 +61,7 @@
         objective: Duration::from_millis(2_500),
         caller_timeout: Duration::from_millis(10_000),
         time_left: Duration::from_secs(15),
-        worth: worth(prompt),
+        value: value(prompt),
         ..short()
     }
 }
@@ -83,7 +83,7 @@
         let engine = engine.expect("a known engine");
         engine.load.running += 1;
         engine.load.memory += 6_400;
-        engine.load.at_risk[0] += 1_300;
+        engine.load.value_at_risk[0] += 1_300;
         used.insert(plan.primary);
     }
     assert!(used.len() <= 4, "{used:?}");
@@ -99,7 +99,7 @@
     for engine in &mut engines[30..] {
         engine.load.running = 10;
         engine.load.memory = 10 * 6_400;
-        engine.load.at_risk[0] = 10 * 1_300;
+        engine.load.value_at_risk[0] = 10 * 1_300;
     }
     let plan = plan(choose(&short(), &engines, &CALM));
     assert_eq!(plan.primary, key("e29"));
@@ -112,7 +112,7 @@
     let chosen = |allowed_ms: u64| {
         let mut engines = engines(2);
         engines[1].load.running = 3;
-        engines[1].load.at_risk[0] = 3 * 1_300;
+        engines[1].load.value_at_risk[0] = 3 * 1_300;
         engines[1].backlog.queued = 100.0;
         engines[1].pauses = Pauses::of([Duration::from_millis(allowed_ms)].into_iter());
         plan(choose(&short(), &engines, &CALM)).primary
@@ -125,7 +125,7 @@
 fn engines_with_answers_at_the_last() -> Vec<Engine> {
     let mut engines = engines(18);
     engines[17].load.running = 3;
-    engines[17].load.at_risk[0] = 3 * 1_300;
+    engines[17].load.value_at_risk[0] = 3 * 1_300;
     engines
 }
 
@@ -155,14 +155,14 @@
     let mut engines = engines(18);
     for engine in &mut engines[15..] {
         engine.load.running = 8;
-        engine.load.at_risk[0] = 8 * 1_300;
+        engine.load.value_at_risk[0] = 8 * 1_300;
     }
     let plan = plan(choose(&long(133_000), &engines, &CALM));
     assert!(plan.helpers.len() >= 6, "{}", plan.helpers.len());
     for helper in &plan.helpers {
         assert!(*name(*helper) < *"e15", "{}", name(*helper));
     }
-    assert!(plan.first_event < Duration::from_millis(600));
+    assert!(plan.time_to_first_event < Duration::from_millis(600));
 }
 
 /// Engines without answers should stay available for prompts that take long to read.
@@ -171,7 +171,7 @@
     let mut engines = engines(18);
     for engine in &mut engines[15..] {
         engine.load.running = 3;
-        engine.load.at_risk[0] = 3 * 1_300;
+        engine.load.value_at_risk[0] = 3 * 1_300;
     }
     let plan = plan(choose(&long(45_000), &engines, &CALM));
     assert!(*name(plan.primary) >= *"e15", "{}", name(plan.primary));
@@ -185,7 +185,7 @@
     let mut engines = engines(18);
     for engine in &mut engines[15..] {
         engine.load.running = 3;
-        engine.load.at_risk[0] = 3 * 1_300;
+        engine.load.value_at_risk[0] = 3 * 1_300;
         engine.backlog.queued = 150.0;
     }
     let plan = plan(choose(&long(45_000), &engines, &CALM));
@@ -226,7 +226,7 @@
     let mut engines = engines(18);
     for engine in &mut engines {
         engine.load.running = 6;
-        engine.load.at_risk[0] = 6 * 1_300;
+        engine.load.value_at_risk[0] = 6 * 1_300;
     }
     engines
 }
@@ -381,7 +381,7 @@
             engine.load.memory = u.int_in_range(0..=230_000)?;
             engine.backlog.pass_remaining = f64::from(u.int_in_range(0..=600u16)?);
             engine.backlog.queued = f64::from(u.int_in_range(0..=900u16)?);
-            engine.load.at_risk[u.int_in_range(0..=2)?] = u.int_in_range(0..=20_000)?;
+            engine.load.value_at_risk[u.int_in_range(0..=2)?] = u.int_in_range(0..=20_000)?;
             engine.suspect = u.ratio(1, 10)?;
         }
         let mut work = long(u.int_in_range(500..=900_000)?);
@@ -443,7 +443,7 @@
             let load = &mut engine.expect("a known engine").load;
             load.running += change;
             load.memory += change * 6_400;
-            load.at_risk[0] += change * 1_300;
+            load.value_at_risk[0] += change * 1_300;
         };
         apply_change(NOTICE_DELAY_PROMPTS, 1);
         apply_change(NOTICE_DELAY_PROMPTS + ANSWER_LENGTH_PROMPTS, -1);
--- a/crates/alderglade-core/tests/testsuite/fleet/queue.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/queue.rs
@@ -38,7 +38,7 @@
     fn notice(&mut self) -> Notice {
         self.sequence += 1;
         Notice {
-            waiting: self.loads.waiting(NOW),
+            queued: self.loads.queued_demands(NOW),
             ..empty_notice(&self.name, 1, self.sequence)
         }
     }
@@ -127,7 +127,7 @@
     for number in 0..500 {
         host.enqueue(demand(number, 4_000));
     }
-    let reported = host.notice().waiting;
+    let reported = host.notice().queued;
     assert!(reported.len() < 100, "{}", reported.len());
     assert_eq!(reported[0], demand(0, 4_000));
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/rate_limit.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/rate_limit.rs
@@ -3,7 +3,7 @@
 use super::chance::Chance;
 use super::key;
 use alderglade_core::Name;
-use alderglade_core::fleet::rate_limit::{self, Grant, Limits, OwnerView, Request};
+use alderglade_core::fleet::rate_limit::{self, Grant, GrantRequest, Limits, OwnerView};
 use alderglade_core::fleet::statement::Rate;
 use alderglade_core::time::Time;
 use std::collections::HashMap;
@@ -29,13 +29,13 @@
     OwnerView {
         own: "own",
         owner,
-        majority: true,
+        hears_majority: true,
     }
 }
 
 /// What hosts send to each other.
 enum Message {
-    Request(Request),
+    Request(GrantRequest),
     Grant(Grant),
 }
 
@@ -220,13 +220,13 @@
         }
     }
 
-    fn grant(&mut self, host: usize, request: &Request) -> Grant {
+    fn grant(&mut self, host: usize, request: &GrantRequest) -> Grant {
         let owner = self.hosts[self.owner(host)].name.clone();
         let granting = &mut self.hosts[host];
         let view = OwnerView {
             own: &granting.name,
             owner: &owner,
-            majority: true,
+            hears_majority: true,
         };
         granting.limits.grant(request, &view, self.now)
     }
--- a/crates/alderglade-core/tests/testsuite/fleet/reassembly.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/reassembly.rs
@@ -11,10 +11,10 @@
 fn started(count: usize, first: u64) -> Servers {
     let change = |number| Change::Known(server(&format!("llm-{number:04}"), false));
     Servers {
-        after: Position::new(1, first),
+        base: Position::new(1, first),
         position: Position::new(1, first + count as u64),
         grace_ms: 0,
-        fragment: Fragment::WHOLE,
+        fragment: Fragment::SINGLE,
         changes: (0..count).map(change).collect(),
     }
 }
--- a/crates/alderglade-core/tests/testsuite/fleet/relay.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/relay.rs
@@ -17,10 +17,10 @@
         division: Division::default(),
         config: 7,
         servers: 70,
-        age: Some(Duration::from_secs(1)),
-        bound: Some(BOUND),
-        lost: false,
-        listed: true,
+        store_age: Some(Duration::from_secs(1)),
+        revocation_bound: Some(BOUND),
+        last_call_failed: false,
+        hosts_listed: true,
     }
 }
 
@@ -202,7 +202,7 @@
     let neighbours = Neighbours::reporting(&[status(true), status(true)]);
     let (mut relay, now) = relay_with_role(&own("h5"), &neighbours);
     let stale = LocalStatus {
-        age: Some(Duration::from_millis(3_700)),
+        store_age: Some(Duration::from_millis(3_700)),
         ..own("h5")
     };
     let first = query(&mut relay, Topic::Config, &stale, &neighbours, now);
--- a/crates/alderglade-core/tests/testsuite/fleet/restored.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/restored.rs
@@ -35,7 +35,7 @@
 /// Creates a directory that has listed the given servers in the first era.
 fn listed(ids: &[&str]) -> Directory {
     let mut directory = Directory::default();
-    assert!(directory.take_list(listing(ids), Position::new(1, 100), Time(0)));
+    assert!(directory.apply_listing(listing(ids), Position::new(1, 100), Time(0)));
     directory
 }
 
@@ -51,8 +51,8 @@
 #[test]
 fn a_list_of_a_former_era_is_ignored() {
     let mut directory = listed(&["a"]);
-    assert!(directory.take_list(listing(&["b"]), Position::new(2, 7), Time(0)));
-    assert!(!directory.take_list(listing(&["a"]), Position::new(1, 800), Time(0)));
+    assert!(directory.apply_listing(listing(&["b"]), Position::new(2, 7), Time(0)));
+    assert!(!directory.apply_listing(listing(&["a"]), Position::new(1, 800), Time(0)));
     assert_eq!(directory.position(), Position::new(2, 7));
 }
 
@@ -89,7 +89,7 @@
 fn a_server_missing_from_the_copy_is_kept_for_the_grace_period() {
     let mut directory = listed(&["a", "b", "c"]);
     let now = Time::from_millis(5_000);
-    directory.take_list(listing(&["a"]), Position::new(2, 40), now);
+    directory.apply_listing(listing(&["a"]), Position::new(2, 40), now);
     let restored = directory.take_restored().expect("a new era");
     assert_eq!((restored.missing, restored.held_back), (2, 0));
     assert_eq!(directory.take_restored(), None);
@@ -105,7 +105,7 @@
 #[test]
 fn a_short_outage_after_a_restore_does_not_shorten_the_grace_period() {
     let mut directory = listed(&["a"]);
-    directory.take_list(listing(&["a", "b"]), Position::new(2, 40), Time(0));
+    directory.apply_listing(listing(&["a", "b"]), Position::new(2, 40), Time(0));
     directory.store_lost();
     directory.store_returned(Time::from_millis(300), false);
     directory.apply(Change::Gone("a".into()), Time::from_millis(400));
@@ -119,14 +119,14 @@
     let mut directory = listed(&["a", "b"]);
     directory.apply(Change::Gone("b".into()), Time(0));
     let now = Time::from_millis(3_000);
-    directory.take_list(listing(&["a", "b"]), Position::new(2, 40), now);
+    directory.apply_listing(listing(&["a", "b"]), Position::new(2, 40), now);
     assert_eq!(
         directory.take_restored().map(|restored| restored.held_back),
         Some(1)
     );
     assert_eq!(active_ids(&directory), id_set(&["a"]));
     // Another list of the same era, as after the store has dropped its history, doesn't admit it.
-    directory.take_list(listing(&["a", "b"]), Position::new(2, 44), now);
+    directory.apply_listing(listing(&["a", "b"]), Position::new(2, 44), now);
     assert_eq!(active_ids(&directory), id_set(&["a"]));
     directory.apply(Change::Known(server("b", false)), now);
     assert_eq!(active_ids(&directory), id_set(&["a", "b"]));
@@ -137,7 +137,7 @@
     let mut directory = listed(&["a", "b"]);
     directory.apply(Change::Gone("b".into()), Time(0));
     let now = Time::from_millis(3_000);
-    directory.take_list(listing(&["a", "b"]), Position::new(2, 40), now);
+    directory.apply_listing(listing(&["a", "b"]), Position::new(2, 40), now);
     assert!(!directory.expire(now + STALE_ENTRY_HOLD - Duration::from_millis(1)));
     assert!(directory.expire(now + STALE_ENTRY_HOLD));
     assert_eq!(active_ids(&directory), id_set(&["a", "b"]));
@@ -323,7 +323,7 @@
         let (directory, store) = (&mut self.hosts[host], &self.store);
         let (known, position) = (directory.position(), store.position());
         if !directory.is_listed() || known.era != store.era {
-            directory.take_list(store.listing(), position, now);
+            directory.apply_listing(store.listing(), position, now);
         } else {
             let changes = store.since(known.revision);
             directory.apply_changes(known, &changes, position, now);
--- a/crates/alderglade-core/tests/testsuite/fleet/slowdown.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/slowdown.rs
@@ -1,12 +1,12 @@
 //! When an engine is suspected of being slow.
 
-use alderglade_core::fleet::slowdown::{Suspicion, is_late, is_slow};
+use alderglade_core::fleet::slowdown::{PauseMonitor, is_late, is_slow};
 use std::time::Duration;
 
 /// Returns after how many of these pauses the engine is asked, if a pass without prefill takes 50 ms.
 fn asked_after(pauses: &[f64]) -> Option<usize> {
-    let mut suspicion = Suspicion::default();
-    let asked = |pause: &f64| suspicion.note(*pause, 50.0);
+    let mut pause_monitor = PauseMonitor::default();
+    let asked = |pause: &f64| pause_monitor.record_pause(*pause, 50.0);
     pauses.iter().position(asked).map(|index| index + 1)
 }
 
@@ -22,8 +22,10 @@
 
 #[test]
 fn an_engine_that_stays_slow_is_asked_again() {
-    let mut suspicion = Suspicion::default();
-    let asked = (0..9).filter(|_| suspicion.note(200.0, 50.0)).count();
+    let mut pause_monitor = PauseMonitor::default();
+    let asked = (0..9)
+        .filter(|_| pause_monitor.record_pause(200.0, 50.0))
+        .count();
     assert_eq!(asked, 3);
 }
 
--- a/crates/alderglade-operator/src/command/explain/summary.rs
+++ b/crates/alderglade-operator/src/command/explain/summary.rs
@@ -4,7 +4,7 @@
 //! first: a thousand late short replies may weigh less than ten long prompts that were refused.
 
 use super::Line;
-use alderglade_core::fleet::placement::{self, LATE_WORTH, SHORT_PROMPT_TOKENS};
+use alderglade_core::fleet::placement::{self, LATE_VALUE, SHORT_PROMPT_TOKENS};
 use serde::Serialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -96,7 +96,7 @@
     fn late(cause: impl Into<String>) -> End {
         End {
             cause: format!("late: {}", cause.into()),
-            lost: 1.0 - LATE_WORTH,
+            lost: 1.0 - LATE_VALUE,
         }
     }
 }
@@ -140,7 +140,7 @@
         lost: 0.0,
     });
     row.requests += 1;
-    row.lost += end.lost * placement::worth(prompt);
+    row.lost += end.lost * placement::value(prompt);
 }
 
 /// Gives how a request ended, by its lines in order.
--- a/crates/alderglade-serve/src/attempt.rs
+++ b/crates/alderglade-serve/src/attempt.rs
@@ -108,7 +108,7 @@
     log_failure(job, server, attempt, &error.to_string());
     match error {
         Error::Unreachable { .. } => {
-            node.record_outcome(server.key(), Outcome::Silent);
+            node.record_outcome(server.key(), Outcome::Unreachable);
             SendFailure::NotSent
         }
         Error::Closed { .. } => {
@@ -137,7 +137,7 @@
 /// Records and logs that a server was silent for longer than allowed.
 pub fn record_silence(node: &Node, job: &Job, server: &Server, attempt: u32, problem: &str) {
     log_failure(job, server, attempt, problem);
-    node.record_outcome(server.key(), Outcome::Silent);
+    node.record_outcome(server.key(), Outcome::Unreachable);
 }
 
 /// Waits until a server has restarted and logs it: a request that was sent to it ended with the former incarnation.
--- a/crates/alderglade-serve/src/generate.rs
+++ b/crates/alderglade-serve/src/generate.rs
@@ -20,8 +20,8 @@
 use alderglade_core::fleet::directory::Server;
 use alderglade_core::fleet::health::Outcome;
 use alderglade_core::fleet::incarnation::Key;
-use alderglade_core::fleet::life::{Life, Sent, Waiting};
 use alderglade_core::fleet::placement::{Plan, Reason};
+use alderglade_core::fleet::request_state::{RequestState, Sent, Waiting};
 use alderglade_core::request::Refusal;
 use http::Response;
 use std::rc::Rc;
@@ -151,19 +151,19 @@
     state: &mut SendState,
     last_event: Option<String>,
 ) -> Result<OpenStream, Refusal> {
-    let mut life: Life<Waiting> = Life::new();
+    let mut request_state: RequestState<Waiting> = RequestState::new();
     let mut next = None;
     loop {
         job.progress.set_stage(Stage::Waits);
         let PermittedPlan { plan, permit } = match next.take() {
             Some(permitted) => permitted,
-            None => next_plan(node, job, state, &life).await?,
+            None => next_plan(node, job, state, &request_state).await?,
         };
         let Some(mut placed) = acquire_resources(node, job, &plan, state).await else {
             continue;
         };
         // Reserving memory and borrowing budget may have taken a while.
-        job.check_quarantine(node, &life).await?;
+        job.check_quarantine(node, &request_state).await?;
         state.total += 1;
         state.readers.clone_from(&plan.helpers);
         log_placed(node, job, &placed.server, &plan, state.total);
@@ -171,14 +171,14 @@
             .set_stage(Stage::Sent(placed.server.id().clone()));
         state.sends += 1;
         state.arrivals += 1;
-        let sent = life.send();
+        let sent = request_state.send();
         let silence = silence(job, &plan);
         let options = SendOptions {
             permit,
             last_event: last_event.clone(),
             silence,
         };
-        life = match send(node, job, state, &mut placed, options).await {
+        request_state = match send(node, job, state, &mut placed, options).await {
             SendResult::Answered(exchange) => {
                 placed.reservation.resume();
                 return Ok(placed.open(exchange, silence));
@@ -193,7 +193,7 @@
         };
         if next.is_none() {
             state.avoid.push(placed.server.key());
-            check_retry(job, state, &life)?;
+            check_retry(job, state, &request_state)?;
         }
     }
 }
@@ -203,11 +203,11 @@
     node: &Rc<Node>,
     job: &Job,
     state: &mut SendState,
-    life: &Life<Waiting>,
+    request_state: &RequestState<Waiting>,
 ) -> Result<PermittedPlan, Refusal> {
-    let permitted = permitted_plan(node, job, state, life).await?;
+    let permitted = permitted_plan(node, job, state, request_state).await?;
     if state.arrivals > 0 && !node.spend_retry(&job.info.id, &job.service).await {
-        return Err(life.refuse(ErrorKind::Overloaded, RETRY_DELAY));
+        return Err(request_state.refuse(ErrorKind::Overloaded, RETRY_DELAY));
     }
     Ok(permitted)
 }
@@ -217,10 +217,10 @@
     node: &Rc<Node>,
     job: &Job,
     state: &mut SendState,
-    life: &Life<Waiting>,
+    request_state: &RequestState<Waiting>,
 ) -> Result<PermittedPlan, Refusal> {
     loop {
-        let plan = place::place(node, job, state, life).await?;
+        let plan = place::place(node, job, state, request_state).await?;
         // The next plan leaves out an engine that accepts nothing now.
         if let Ok(permit) = node.permit_plan(&plan).await {
             return Ok(PermittedPlan { plan, permit });
@@ -258,7 +258,7 @@
 /// Returns how long a server may stay silent before its first event: until the event is too late, or until its caller
 /// might leave before another server begins.
 fn silence(job: &Job, plan: &Plan) -> Duration {
-    let late = plan.first_event * FIRST_EVENT_FACTOR + FIRST_EVENT_SLACK;
+    let late = plan.time_to_first_event * FIRST_EVENT_FACTOR + FIRST_EVENT_SLACK;
     let caller_timeout = job.caller_timeout().saturating_sub(job.waited());
     caller::silence_timeout(caller_timeout).min(late)
 }
@@ -336,9 +336,9 @@
     clock::sleep_and_yield(silence).await;
     record_stall(node, job, state, silent_server);
     reservation.suspend();
-    let life = Life::new().send().lost();
+    let request_state = RequestState::new().send().lost();
     loop {
-        let plan = place::place(node, job, state, &life).await;
+        let plan = place::place(node, job, state, &request_state).await;
         let other = plan.ok().filter(|plan| plan.primary != silent_server.key());
         if let Some(plan) = other
             && let Ok(permit) = node.permit_plan(&plan).await
@@ -391,9 +391,9 @@
     job: &Job,
     state: &mut SendState,
     server: &Server,
-    sent: Life<Sent>,
+    sent: RequestState<Sent>,
     failure: SendFailure,
-) -> Life<Waiting> {
+) -> RequestState<Waiting> {
     match failure {
         SendFailure::NotSent | SendFailure::Closed => {
             state.refused_connections += u32::from(matches!(failure, SendFailure::Closed));
@@ -438,21 +438,25 @@
 }
 
 /// Returns a refusal if the request may not be sent again.
-fn check_retry(job: &Job, state: &SendState, life: &Life<Waiting>) -> Result<(), Refusal> {
+fn check_retry(
+    job: &Job,
+    state: &SendState,
+    request_state: &RequestState<Waiting>,
+) -> Result<(), Refusal> {
     if job.time_left().is_zero() {
-        return Err(life.refuse(ErrorKind::ExpiredWaiting, RETRY_DELAY));
+        return Err(request_state.refuse(ErrorKind::ExpiredWaiting, RETRY_DELAY));
     }
-    let may_repeat = !life.may_have_run() || job.route.kind.is_repeatable();
+    let may_repeat = !request_state.may_have_run() || job.route.kind.is_repeatable();
     let sends_left = state.may_send(job.route.max_attempts);
     if may_repeat && sends_left {
         return Ok(());
     }
-    let kind = if life.may_have_run() {
+    let kind = if request_state.may_have_run() {
         ErrorKind::ContactLost
     } else {
         ErrorKind::Overloaded
     };
-    Err(life.refuse(kind, RETRY_DELAY))
+    Err(request_state.refuse(kind, RETRY_DELAY))
 }
 
 fn log_placed(node: &Node, job: &Job, server: &Server, plan: &Plan, attempt: u32) {
@@ -467,7 +471,7 @@
         helpers: plan.helpers.len(),
         shares: plan.shares.len(),
         waited_ms: waited.as_millis() as u64,
-        expected_ms: plan.first_event.as_millis() as u64,
+        expected_ms: plan.time_to_first_event.as_millis() as u64,
         config: job.config,
         stopping_ms: node.stopping_ms(),
     });
--- a/crates/alderglade-serve/src/generate/place.rs
+++ b/crates/alderglade-serve/src/generate/place.rs
@@ -6,9 +6,9 @@
 use crate::job::Job;
 use crate::node::{Node, QueueGuard, Unavailability};
 use alderglade_core::error::Kind as ErrorKind;
-use alderglade_core::fleet::life::{Life, Waiting};
 use alderglade_core::fleet::pass::EngineProfile;
 use alderglade_core::fleet::placement::{self, Decision, Plan, Reason, ServiceState, Work};
+use alderglade_core::fleet::request_state::{RequestState, Waiting};
 use alderglade_core::request::Refusal;
 use rand::RngExt;
 use std::rc::Rc;
@@ -29,33 +29,35 @@
     node: &Rc<Node>,
     job: &Job,
     state: &mut SendState,
-    life: &Life<Waiting>,
+    request_state: &RequestState<Waiting>,
 ) -> Result<Plan, Refusal> {
     let mut queue = None;
     loop {
         if job.time_left().is_zero() {
-            return Err(life.refuse(ErrorKind::ExpiredWaiting, RETRY_DELAY));
+            return Err(request_state.refuse(ErrorKind::ExpiredWaiting, RETRY_DELAY));
         }
-        job.check_quarantine(node, life).await?;
+        job.check_quarantine(node, request_state).await?;
         if state.sends == 0 && !node.accepts_requests() {
-            return Err(life.refuse(ErrorKind::Draining, RETRY_DELAY));
+            return Err(request_state.refuse(ErrorKind::Draining, RETRY_DELAY));
         }
         if let Some(Unavailability { kind, after }) = node.unavailability(&job.service, &job.homes)
         {
-            return Err(life.refuse(kind, after));
+            return Err(request_state.refuse(kind, after));
         }
         let ends_in = node.ends_in();
         match decide(node, job, state, &mut queue) {
             Decision::Send(plan)
                 if ends_in.is_some_and(|left| answer_time(node, job, &plan) > left) =>
             {
-                return Err(life.refuse(ErrorKind::Draining, RETRY_DELAY));
+                return Err(request_state.refuse(ErrorKind::Draining, RETRY_DELAY));
             }
             Decision::Send(plan) => return Ok(plan),
             Decision::Wait(_) if ends_in.is_some_and(|left| left < MIN_TIME_BEFORE_STOP) => {
-                return Err(life.refuse(ErrorKind::Draining, RETRY_DELAY));
+                return Err(request_state.refuse(ErrorKind::Draining, RETRY_DELAY));
+            }
+            Decision::Refuse(after) => {
+                return Err(request_state.refuse(ErrorKind::Overloaded, after));
             }
-            Decision::Refuse(after) => return Err(life.refuse(ErrorKind::Overloaded, after)),
             Decision::Wait(wait) => {
                 log_held(node, job, state, wait.reason);
                 if let Some(queue) = &mut queue {
@@ -99,7 +101,7 @@
     };
     let stride = profile(node, job).map_or(1, |profile| u64::from(profile.stride.max(1)));
     let strides = max_output / stride + 1;
-    plan.first_event + MAX_STRIDE_TIME * u32::try_from(strides).unwrap_or(u32::MAX)
+    plan.time_to_first_event + MAX_STRIDE_TIME * u32::try_from(strides).unwrap_or(u32::MAX)
 }
 
 /// Returns the timing profile of the engines that serve a job, if its service states one.
@@ -142,8 +144,8 @@
             primary: server.key(),
             helpers: Vec::new(),
             shares: Vec::new(),
-            part: 0.0,
-            first_event: job.route.objective,
+            part_ms: 0.0,
+            time_to_first_event: job.route.objective,
             multi_engine: false,
         }),
     }
@@ -164,7 +166,7 @@
         waited: job.waited(),
         time_left: job.time_left(),
         is_retry: job.is_retry(),
-        worth: placement::worth(prompt.tokens),
+        value: placement::value(prompt.tokens),
         avoid: state.avoid.clone(),
         stalled: state.stalled.clone(),
         random: Some(rand::rng().random()),
--- a/crates/alderglade-serve/src/generate/reservation.rs
+++ b/crates/alderglade-serve/src/generate/reservation.rs
@@ -11,17 +11,17 @@
 /// Returns a plan's reservation: its load on each engine.
 pub(super) fn of_plan(job: &Job, plan: &Plan) -> Reservation {
     let prompt = job.prompt();
-    let read_share = (plan.part * 1_000.0) as u64;
+    let read_share = (plan.part_ms * 1_000.0) as u64;
     let reserved: u64 = plan.shares.iter().map(|share| share.tokens).sum();
     let memory = (prompt.tokens + prompt.expected_output_tokens()).saturating_sub(reserved);
     let mut at_risk = [0; PAUSE_CLASSES];
-    at_risk[job.pause_class() as usize] = (placement::worth(prompt.tokens) * 1_000.0) as i64;
+    at_risk[job.pause_class() as usize] = (placement::value(prompt.tokens) * 1_000.0) as i64;
     let own_tokens = reserved_tokens(plan, plan.primary);
     let load = Load {
-        placed: read_share,
+        placed_micros: read_share,
         memory: memory as i64 + own_tokens,
         running: 1,
-        at_risk,
+        value_at_risk: at_risk,
     };
     Reservation {
         primary: plan.primary,
@@ -45,7 +45,7 @@
         loads.push(Part {
             server: *server,
             load: Load {
-                placed: if reads { read_share } else { 0 },
+                placed_micros: if reads { read_share } else { 0 },
                 memory: reserved_tokens(plan, *server),
                 ..Load::default()
             },
--- a/crates/alderglade-serve/src/job.rs
+++ b/crates/alderglade-serve/src/job.rs
@@ -10,8 +10,8 @@
 use alderglade_core::fleet::config::Route;
 use alderglade_core::fleet::fingerprint::Fingerprint;
 use alderglade_core::fleet::homes::Homes;
-use alderglade_core::fleet::life::{Life, Waiting};
 use alderglade_core::fleet::load_table::PauseClass;
+use alderglade_core::fleet::request_state::{RequestState, Waiting};
 use alderglade_core::request::Refusal;
 use alderglade_core::time::Time;
 use bytes::Bytes;
@@ -64,10 +64,14 @@
     /// # Errors
     ///
     /// Returns a refusal if the request is quarantined.
-    pub async fn check_quarantine(&self, node: &Node, life: &Life<Waiting>) -> Result<(), Refusal> {
+    pub async fn check_quarantine(
+        &self,
+        node: &Node,
+        request_state: &RequestState<Waiting>,
+    ) -> Result<(), Refusal> {
         node.wait_for_verdict(self.fingerprint).await;
         match node.barred_for(self.fingerprint) {
-            Some(left) => Err(life.refuse(ErrorKind::Quarantined, left)),
+            Some(left) => Err(request_state.refuse(ErrorKind::Quarantined, left)),
             None => Ok(()),
         }
     }
--- a/crates/alderglade-serve/src/node.rs
+++ b/crates/alderglade-serve/src/node.rs
@@ -242,7 +242,7 @@
         let now = clock::now();
         let mut state = self.state.borrow_mut();
         state.health.record(server, outcome, now);
-        if outcome == Outcome::Sound {
+        if outcome == Outcome::Success {
             state.quarantine.record_alive(server);
         }
     }
--- a/crates/alderglade-serve/src/node/choice.rs
+++ b/crates/alderglade-serve/src/node/choice.rs
@@ -194,7 +194,7 @@
         let suspect = is_suspect(&state.loads, &state.health, domain, server, now);
         let suspect = SUSPECT_COST * one_if(suspect);
         let tried = TRIED_COST * one_if(tried.contains(&key));
-        busy + remote + suspect + tried + state.health.failing(key)
+        busy + remote + suspect + tried + state.health.failure_rate(key)
     }
 }
 
--- a/crates/alderglade-serve/src/node/cold.rs
+++ b/crates/alderglade-serve/src/node/cold.rs
@@ -84,7 +84,7 @@
                 known && state.limits.apply_cold_report(report, clock::now())
             };
             if changed {
-                self.announce_cold(report.server, report.left());
+                self.announce_cold(report.server, report.remaining());
             }
         }
     }
--- a/crates/alderglade-serve/src/node/outbox.rs
+++ b/crates/alderglade-serve/src/node/outbox.rs
@@ -89,10 +89,10 @@
             state.grace_ms(clock::now())
         };
         let update = Servers {
-            after,
+            base: after,
             position,
             grace_ms,
-            fragment: Fragment::WHOLE,
+            fragment: Fragment::SINGLE,
             changes: changes.to_vec(),
         };
         let size = |change: &Change| postcard::to_stdvec(change).map_or(usize::MAX, |b| b.len());
@@ -213,7 +213,9 @@
     fn apply_server_update(&self, servers: &Servers) {
         let mut state = self.state.borrow_mut();
         let Servers {
-            after, position, ..
+            base: after,
+            position,
+            ..
         } = *servers;
         if !state.directory.needs_changes(after, position) {
             return;
@@ -235,7 +237,7 @@
     /// the store is queried for the newest version.
     fn apply_config_patch(&self, patch: &Patch) {
         let current = self.state.borrow().config.clone();
-        if let Some(config) = current.and_then(|config| config.patched(patch)) {
+        if let Some(config) = current.and_then(|config| config.apply_patch(patch)) {
             self.apply_store_event(StoreEvent::Config(config));
         }
     }
--- a/crates/alderglade-serve/src/node/permit.rs
+++ b/crates/alderglade-serve/src/node/permit.rs
@@ -10,7 +10,7 @@
 use alderglade_core::fleet::incarnation::Key;
 use alderglade_core::fleet::message::Message;
 use alderglade_core::fleet::placement::Plan;
-use alderglade_core::fleet::rate_limit::{self, Grant, OwnerView, Request};
+use alderglade_core::fleet::rate_limit::{self, Grant, GrantRequest, OwnerView};
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -128,7 +128,7 @@
         if !same_group {
             state
                 .silent_owners
-                .note(owner, SILENT_OWNER_TIME, clock::now());
+                .extend(owner, SILENT_OWNER_TIME, clock::now());
         }
         !same_group
     }
@@ -141,7 +141,7 @@
         if state.groups.has_server(&self.settings.host, server) {
             state.limits.deny(server, wait, now);
         } else {
-            state.backoffs.note(server, wait, now);
+            state.backoffs.extend(server, wait, now);
         }
     }
 
@@ -182,7 +182,7 @@
     /// Returns whether new work may be sent to a server, as far as this host knows.
     fn accepts_work(&self, server: Key) -> bool {
         let state = self.state.borrow();
-        let backing_off = !state.backoffs.left(&server, clock::now()).is_zero();
+        let backing_off = !state.backoffs.remaining(&server, clock::now()).is_zero();
         !backing_off && state.directory.get(server).is_some()
     }
 
@@ -215,7 +215,7 @@
     }
 
     /// Sends a grant request to the owner of a server's limit, which may be this host.
-    fn request_grant(&self, request: Request) -> PendingGrant {
+    fn request_grant(&self, request: GrantRequest) -> PendingGrant {
         let answer = self.grant_requests.borrow_mut().register(request.number);
         let owner = self.limit_owner(request.server);
         let address = self.state.borrow().hosts.get(&owner);
@@ -232,7 +232,7 @@
     }
 
     /// Answers a grant request of a host that wants to send to a server with a limit.
-    pub fn grant(&self, request: &Request) -> Grant {
+    pub fn grant(&self, request: &GrantRequest) -> Grant {
         let own = &self.settings.host;
         if !self.state.borrow().groups.has_server(own, request.server) {
             return Grant::not_owner(request);
@@ -241,7 +241,7 @@
         let view = OwnerView {
             own,
             owner: &owner,
-            majority: self.sees_majority(),
+            hears_majority: self.sees_majority(),
         };
         let mut state = self.state.borrow_mut();
         state.limits.grant(request, &view, clock::now())
@@ -279,7 +279,7 @@
             let group = state.groups.of_server(server);
             let listed = state.hosts.names();
             let group_hosts = listed.filter(|name| state.groups.of_host(name) == group);
-            let is_answering = |name: &&Name| state.silent_owners.left(name, now).is_zero();
+            let is_answering = |name: &&Name| state.silent_owners.remaining(name, now).is_zero();
             rate_limit::owner(server, group_hosts.filter(is_answering))
         };
         owner.unwrap_or(own).clone()
--- a/crates/alderglade-serve/src/node/relay.rs
+++ b/crates/alderglade-serve/src/node/relay.rs
@@ -82,10 +82,10 @@
             division: state.groups.division(),
             config: state.config_version(),
             servers: state.directory.digest(),
-            age: state.freshness.age(now),
-            bound: self.settings.revocation,
-            lost: self.store_contact.get().is_lost(),
-            listed: self.startup_sync.knows_hosts(),
+            store_age: state.freshness.age(now),
+            revocation_bound: self.settings.revocation,
+            last_call_failed: self.store_contact.get().is_lost(),
+            hosts_listed: self.startup_sync.knows_hosts(),
         }
     }
 
@@ -147,7 +147,7 @@
         let state = self.state.borrow();
         state.config.as_ref()?;
         Some(Confirmation {
-            asked_us: request.asked_us,
+            sent_us: request.sent_us,
             age: state.freshness.age(now),
             config: state.config_version(),
             servers: state.directory.digest(),
@@ -161,7 +161,7 @@
         let state = &mut *self.state.borrow_mut();
         // A peer with an older version may have it from a restored copy of the store.
         if state.config_version() == answer.config
-            && let Some(at) = answer.at()
+            && let Some(at) = answer.confirmed_until()
         {
             state.freshness.confirm(at);
         }
@@ -192,6 +192,6 @@
         role: role.label(),
         heard: same_domain.clone().count(),
         watchers: same_domain.filter(|host| host.store.in_contact).count(),
-        store_age_ms: local_status.age.map(|age| age.as_millis() as u64),
+        store_age_ms: local_status.store_age.map(|age| age.as_millis() as u64),
     });
 }
--- a/crates/alderglade-serve/src/node/retry_budget.rs
+++ b/crates/alderglade-serve/src/node/retry_budget.rs
@@ -5,7 +5,7 @@
 use crate::event::{self, Record};
 use alderglade_core::Name;
 use alderglade_core::fleet::budget::{Budget, UNITS_PER_RETRY};
-use alderglade_core::fleet::loan::{Loan, Request};
+use alderglade_core::fleet::loan::{Loan, LoanRequest};
 use alderglade_core::fleet::message::Message;
 use alderglade_core::time::Time;
 use rand::seq::IteratorRandom;
@@ -20,7 +20,7 @@
 impl Node {
     /// Records the first send of a request to a service.
     pub fn record_first_send(&self, service: &Name) {
-        self.with_budget(service, |budget, now, _| budget.request(now));
+        self.with_budget(service, |budget, now, _| budget.record_request(now));
     }
 
     /// Spends one retry for a service; asks other hosts for loans if this host's part is used up. Returns whether the
@@ -65,7 +65,7 @@
     fn lenders(&self, service: &Name) -> Vec<SocketAddr> {
         let now = clock::now();
         let state = self.state.borrow();
-        if !state.loan_requests.may_ask(service, now) {
+        if !state.loan_requests.may_request(service, now) {
             return Vec::new();
         }
         let mut rng = rand::rng();
@@ -90,7 +90,7 @@
         let missing = self.with_budget(service, |budget, now, hosts| budget.missing(now, hosts));
         let request = {
             let mut state = self.state.borrow_mut();
-            state.loan_requests.ask(service, missing, clock::now())
+            state.loan_requests.create(service, missing, clock::now())
         };
         let number = request.number;
         self.queue_envelope(Envelope {
@@ -111,7 +111,7 @@
     }
 
     /// Lends a host what it requests, as far as this host has something left.
-    pub fn lend(&self, request: &Request) -> Loan {
+    pub fn lend(&self, request: &LoanRequest) -> Loan {
         let lend = |budget: &mut Budget, now, hosts| budget.lend(request.missing, now, hosts);
         let part = self.with_budget(&request.service, lend);
         self.metrics
--- a/crates/alderglade-serve/src/node/startup_sync.rs
+++ b/crates/alderglade-serve/src/node/startup_sync.rs
@@ -82,9 +82,9 @@
             .hosts
             .addresses_except(|name| name == own);
         let asked = others.into_iter().sample(&mut rand::rng(), max_hosts);
-        let asked_us = clock::now().0;
+        let sent_us = clock::now().0;
         for to in &asked {
-            let message = Message::ConfirmationRequest(ConfirmationRequest { asked_us });
+            let message = Message::ConfirmationRequest(ConfirmationRequest { sent_us });
             self.queue_envelope(Envelope { to: *to, message });
         }
         asked.len()
--- a/crates/alderglade-serve/src/node/state.rs
+++ b/crates/alderglade-serve/src/node/state.rs
@@ -188,5 +188,5 @@
     now: Time,
 ) -> Duration {
     let denied = limits.denied_for(server, now);
-    denied.max(backoffs.left(&server, now))
+    denied.max(backoffs.remaining(&server, now))
 }
--- a/crates/alderglade-serve/src/node/statement.rs
+++ b/crates/alderglade-serve/src/node/statement.rs
@@ -48,7 +48,7 @@
     fn observe_backoff(&self, server: &Server, span: Duration) {
         let is_new = {
             let mut state = self.state.borrow_mut();
-            state.backoffs.note(server.key(), span, clock::now())
+            state.backoffs.extend(server.key(), span, clock::now())
         };
         if is_new {
             event::write(&Record::ServerBackoff {
--- a/crates/alderglade-serve/src/node/store.rs
+++ b/crates/alderglade-serve/src/node/store.rs
@@ -118,7 +118,7 @@
                 position,
             } => self.apply_server_changes(after, &changes, position, now),
             StoreEvent::HostUnreadable(fault) => {
-                self.update_host_faults(|faults| faults.note(&fault))
+                self.update_host_faults(|faults| faults.record(&fault))
             }
             StoreEvent::Host(host) => {
                 self.update_host_faults(|faults| faults.clear(&host.name));
@@ -187,7 +187,7 @@
     /// Applies the complete list of backend servers, unless peers have sent later changes in the meantime.
     fn apply_listing(&self, all: Listing, position: Position, now: Time) {
         let mut state = self.state.borrow_mut();
-        if !state.directory.take_list(all, position, now) {
+        if !state.directory.apply_listing(all, position, now) {
             return;
         }
         let restored = state.directory.take_restored();
--- a/crates/alderglade-serve/src/peer/receive.rs
+++ b/crates/alderglade-serve/src/peer/receive.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::node::{Host, Node};
 use alderglade_core::fleet::load_table::Notice;
-use alderglade_core::fleet::loan::Request;
+use alderglade_core::fleet::loan::LoanRequest;
 use alderglade_core::fleet::message::{ConfirmationRequest, ForwardedNotice, Message, StoreUpdate};
 use alderglade_core::fleet::rate_limit;
 use std::net::SocketAddr;
@@ -115,7 +115,7 @@
 async fn answer_loan_request(
     node: &Node,
     socket: &UdpSocket,
-    request: &Request,
+    request: &LoanRequest,
     sender: SocketAddr,
 ) {
     let message = Message::Loan(node.lend(request));
@@ -126,7 +126,7 @@
 async fn answer_grant_request(
     node: &Node,
     socket: &UdpSocket,
-    request: &rate_limit::Request,
+    request: &rate_limit::GrantRequest,
     sender: SocketAddr,
 ) {
     let message = Message::Grant(node.grant(request));
--- a/crates/alderglade-serve/src/peer/send.rs
+++ b/crates/alderglade-serve/src/peer/send.rs
@@ -46,7 +46,7 @@
         let due = self.schedule.borrow().due(interval, clock::now());
         self.beat.set(self.beat.get() + u64::from(due.is_some()));
         match due {
-            Some(Due::Whole) => self.send_full().await,
+            Some(Due::Full) => self.send_full().await,
             Some(Due::Changes) => self.send_changes().await,
             None => {}
         }
@@ -55,14 +55,16 @@
     /// Sends all of this host's holdings to other hosts.
     async fn send_full(&self) {
         let now = clock::now();
-        self.schedule.borrow_mut().note(Due::Whole, now);
+        self.schedule.borrow_mut().record(Due::Full, now);
         let holdings = self.node.state.borrow().loads.all_holdings(now);
         self.send_notices(holdings, true).await;
     }
 
     /// Sends the changes since the last notice to other hosts.
     pub(super) async fn send_changes(&self) {
-        self.schedule.borrow_mut().note(Due::Changes, clock::now());
+        self.schedule
+            .borrow_mut()
+            .record(Due::Changes, clock::now());
         let holdings = self.node.state.borrow_mut().loads.take_changes();
         self.send_notices(holdings, false).await;
     }
@@ -73,9 +75,9 @@
         if hosts.is_empty() {
             return;
         }
-        let asked_us = clock::now().0;
+        let sent_us = clock::now().0;
         self.send(
-            &Message::ConfirmationRequest(ConfirmationRequest { asked_us }),
+            &Message::ConfirmationRequest(ConfirmationRequest { sent_us }),
             &hosts,
         )
         .await;
@@ -142,7 +144,7 @@
             interval_ms: u32::try_from(interval.as_millis()).unwrap_or(u32::MAX),
             full,
             multi_engine_prompts: state.loads.own_multi_engine_prompts(),
-            waiting: state.loads.waiting(clock::now()),
+            queued: state.loads.queued_demands(clock::now()),
             store: status,
             leaving: self.node.leaving_group_servers(state),
             ejections: state.health.ejections_to_report(clock::now()),
--- a/crates/alderglade-serve/src/relay.rs
+++ b/crates/alderglade-serve/src/relay.rs
@@ -108,7 +108,8 @@
         loop {
             match self.relay_events(&mut part).await {
                 Ok(()) => {
-                    self.node.record_outcome(part.server.key(), Outcome::Sound);
+                    self.node
+                        .record_outcome(part.server.key(), Outcome::Success);
                     self.node.record_success(self.job.fingerprint);
                     part.connection.recycle();
                     return End::Complete;
@@ -302,7 +303,7 @@
             return;
         };
         let pause = pause.as_secs_f64() * 1_000.0;
-        if part.suspicion.note(pause, idle_pass) {
+        if part.pause_monitor.record_pause(pause, idle_pass) {
             slowdown::inspect(&self.node, server);
         }
     }
--- a/crates/alderglade-serve/src/relay/part.rs
+++ b/crates/alderglade-serve/src/relay/part.rs
@@ -6,7 +6,7 @@
 use crate::slowdown::Reading;
 use crate::ticket::Tickets;
 use alderglade_core::fleet::directory::Server;
-use alderglade_core::fleet::slowdown::Suspicion;
+use alderglade_core::fleet::slowdown::PauseMonitor;
 use alderglade_core::fleet::sse::Splitter;
 use alderglade_core::time::Time;
 use bytes::Bytes;
@@ -35,7 +35,7 @@
     /// Longest silence before another server is looked for.
     pub silence: Duration,
     /// The evidence of slowness in the server's pauses.
-    pub suspicion: Suspicion,
+    pub pause_monitor: PauseMonitor,
     /// Whether the server was recorded as silent since its last frame.
     pub recorded_silent: bool,
     /// A frame that arrived while another server was looked for.
@@ -55,7 +55,7 @@
             reading: open.reading,
             first_event_at: None,
             silence: open.silence,
-            suspicion: Suspicion::default(),
+            pause_monitor: PauseMonitor::default(),
             recorded_silent: false,
             pending: None,
         }
--- a/crates/alderglade-serve/src/slowdown.rs
+++ b/crates/alderglade-serve/src/slowdown.rs
@@ -32,7 +32,7 @@
         Reading {
             engines: primary.chain(&plan.helpers).copied().collect(),
             began: clock::now(),
-            expected: plan.first_event,
+            expected: plan.time_to_first_event,
         }
     }
 
--- a/crates/alderglade-serve/src/unary.rs
+++ b/crates/alderglade-serve/src/unary.rs
@@ -16,7 +16,7 @@
 use alderglade_core::fleet::directory::Server;
 use alderglade_core::fleet::health::Outcome;
 use alderglade_core::fleet::incarnation::Key;
-use alderglade_core::fleet::life::{Life, Waiting};
+use alderglade_core::fleet::request_state::{RequestState, Waiting};
 use alderglade_core::request::Refusal;
 use alderglade_core::time::Time;
 use http::{Response, StatusCode};
@@ -116,13 +116,13 @@
     /// The server responded, and the response can be relayed.
     Whole(Response<ServerAnswer>),
     /// Nothing was sent; this is not counted as an attempt.
-    NotSent(Life<Waiting>),
+    NotSent(RequestState<Waiting>),
     /// The request was sent, and there is no valid response.
-    Failed(Life<Waiting>),
+    Failed(RequestState<Waiting>),
     /// The server is silent, and this other server can take the request.
-    Replaced(Life<Waiting>, PermittedServer),
+    Replaced(RequestState<Waiting>, PermittedServer),
     /// The request's deadline has passed.
-    Expired(Life<Waiting>),
+    Expired(RequestState<Waiting>),
 }
 
 /// Serves a request that is not a stream.
@@ -149,27 +149,27 @@
     job: &Job,
     failed: &mut Option<Response<ServerAnswer>>,
 ) -> Result<Response<ServerAnswer>, Refusal> {
-    let mut life = Life::new();
+    let mut request_state = RequestState::new();
     let mut tried_servers: Vec<Key> = Vec::new();
     let mut sends = 0;
     let mut replacement = None;
     loop {
         let permitted = match replacement.take() {
             Some(permitted) => permitted,
-            None => next_server(node, job, &life, &tried_servers, sends).await?,
+            None => next_server(node, job, &request_state, &tried_servers, sends).await?,
         };
-        job.check_quarantine(node, &life).await?;
+        job.check_quarantine(node, &request_state).await?;
         tried_servers.push(permitted.server.key());
         sends += 1;
         let attempts_left = sends < job.route.max_attempts;
-        match try_server(node, job, permitted, life, &tried_servers, sends).await {
+        match try_server(node, job, permitted, request_state, &tried_servers, sends).await {
             Try::Whole(response) if attempts_left && may_retry(job, &response) => {
-                life = Life::new().send().lost();
+                request_state = RequestState::new().send().lost();
                 *failed = Some(response);
             }
             Try::Whole(response) => return Ok(response),
             Try::NotSent(waiting) => {
-                life = waiting;
+                request_state = waiting;
                 sends -= 1;
                 if sends > 0 {
                     node.refund_retry(&job.service);
@@ -178,9 +178,9 @@
             Try::Failed(waiting) if waiting.may_have_run() && !job.route.kind.is_repeatable() => {
                 return Err(waiting.refuse(ErrorKind::ContactLost, RETRY_DELAY));
             }
-            Try::Failed(waiting) => life = waiting,
+            Try::Failed(waiting) => request_state = waiting,
             Try::Replaced(waiting, other) => {
-                life = waiting;
+                request_state = waiting;
                 replacement = Some(other);
             }
             Try::Expired(waiting) => {
@@ -194,19 +194,19 @@
 async fn next_server(
     node: &Node,
     job: &Job,
-    life: &Life<Waiting>,
+    request_state: &RequestState<Waiting>,
     tried_servers: &[Key],
     sends: u32,
 ) -> Result<PermittedServer, Refusal> {
-    if !life.may_have_run() && !node.accepts_requests() {
-        return Err(life.refuse(ErrorKind::Draining, RETRY_DELAY));
+    if !request_state.may_have_run() && !node.accepts_requests() {
+        return Err(request_state.refuse(ErrorKind::Draining, RETRY_DELAY));
     }
     let Some(permitted) = pick_permitted(node, job, tried_servers).await else {
-        return Err(no_server(node, job, life));
+        return Err(no_server(node, job, request_state));
     };
     let exhausted = sends >= job.route.max_attempts.max(1) || tried_servers.len() >= MAX_SERVERS;
     if exhausted || (sends > 0 && !node.spend_retry(&job.info.id, &job.service).await) {
-        return Err(life.refuse(ErrorKind::Overloaded, RETRY_DELAY));
+        return Err(request_state.refuse(ErrorKind::Overloaded, RETRY_DELAY));
     }
     Ok(permitted)
 }
@@ -225,10 +225,10 @@
 
 /// Refuses a request that no server accepts now. If the cause is known to be temporary, the caller receives its
 /// duration.
-fn no_server(node: &Node, job: &Job, life: &Life<Waiting>) -> Refusal {
+fn no_server(node: &Node, job: &Job, request_state: &RequestState<Waiting>) -> Refusal {
     match node.unavailability(&job.service, &job.homes) {
-        Some(Unavailability { kind, after }) => life.refuse(kind, after),
-        None => life.refuse(ErrorKind::NoCapacity, RETRY_DELAY),
+        Some(Unavailability { kind, after }) => request_state.refuse(kind, after),
+        None => request_state.refuse(ErrorKind::NoCapacity, RETRY_DELAY),
     }
 }
 
@@ -238,7 +238,7 @@
     node: &Rc<Node>,
     job: &Job,
     permitted: PermittedServer,
-    life: Life<Waiting>,
+    request_state: RequestState<Waiting>,
     tried_servers: &[Key],
     sends: u32,
 ) -> Try {
@@ -248,7 +248,7 @@
     log_placed(node, job, server, sends);
     job.progress.set_stage(Stage::Sent(server.id().clone()));
     let may_replace = sends < job.route.max_attempts && job.route.kind.is_repeatable();
-    let sent = life.send();
+    let sent = request_state.send();
     let exchange = attempt::send(node, job, server, permit, Vec::new(), None, sends);
     let whole = async {
         let (exchange, reply) = exchange.await?;
@@ -350,10 +350,10 @@
     let outcome = if failed {
         Outcome::Failed
     } else {
-        Outcome::Sound
+        Outcome::Success
     };
     node.record_outcome(server.key(), outcome);
-    if outcome == Outcome::Sound {
+    if outcome == Outcome::Success {
         node.record_success(job.fingerprint);
     }
     Ok(response.map(|body| ServerAnswer {
--- a/crates/alderglade-serve/tests/testsuite/message.rs
+++ b/crates/alderglade-serve/tests/testsuite/message.rs
@@ -66,7 +66,7 @@
             }
             Message::ForwardedNotice(forwarded) => self.apply_notice(&forwarded.notice, now),
             Message::Confirmation(confirmation) => {
-                confirmation.at();
+                confirmation.confirmed_until();
             }
             Message::StoreUpdate(update) | Message::StoreUpdateToForward(update) => {
                 self.apply_store_update(update, now)
@@ -76,7 +76,7 @@
                 let view = OwnerView {
                     own: "own",
                     owner: "own",
-                    majority: true,
+                    hears_majority: true,
                 };
                 self.limits.grant(&request, &view, now);
             }
@@ -91,7 +91,7 @@
                     self.directory.apply(change, now);
                 }
             }
-            StoreUpdate::Config(patch) => drop(Config::default().patched(&patch)),
+            StoreUpdate::Config(patch) => drop(Config::default().apply_patch(&patch)),
             StoreUpdate::Hosts(_) => {}
         }
     }
@@ -130,10 +130,10 @@
 
 fn load(u: &mut Unstructured<'_>) -> Result<Load> {
     Ok(Load {
-        placed: u.arbitrary()?,
+        placed_micros: u.arbitrary()?,
         memory: u.arbitrary()?,
         running: u.arbitrary()?,
-        at_risk: u.arbitrary()?,
+        value_at_risk: u.arbitrary()?,
     })
 }
 
@@ -182,7 +182,7 @@
     Ok(evacuation::Snapshot {
         at: Some(Position::new(u.arbitrary()?, u.arbitrary()?)),
         domains: vec![u.arbitrary::<String>()?.into()],
-        lost: vec![evacuation::MissingEvacuation {
+        missing: vec![evacuation::MissingEvacuation {
             domain: u.arbitrary::<String>()?.into(),
             left_ms: u.arbitrary()?,
         }],
@@ -214,7 +214,7 @@
         interval_ms: u.arbitrary()?,
         full: u.arbitrary()?,
         multi_engine_prompts: u.arbitrary()?,
-        waiting: vec![waiting],
+        queued: vec![waiting],
         store: StoreStatus::default(),
         leaving: vec![engine(1).key()],
         ejections: vec![ejection],
@@ -256,10 +256,10 @@
         arbtest::arbtest(|u| {
             let mut host = Host::new();
             let own = Load {
-                placed: 1_000,
+                placed_micros: 1_000,
                 memory: 100,
                 running: 1,
-                at_risk: [1_300, 0, 0],
+                value_at_risk: [1_300, 0, 0],
             };
             host.loads.reserve(
                 Reservation {
@@ -284,8 +284,8 @@
             host.apply_notice(&valid, now);
             let total = host.loads.total(engine(0).key());
             assert_eq!(
-                (total.running, total.memory, total.at_risk),
-                (1, 100, own.at_risk)
+                (total.running, total.memory, total.value_at_risk),
+                (1, 100, own.value_at_risk)
             );
             assert!(host.loads.total(engine(1).key()).holds_nothing());
             // One notice adds a minute of reading at most.
--- a/crates/alderglade-serve/tests/testsuite/wire_bytes.rs
+++ b/crates/alderglade-serve/tests/testsuite/wire_bytes.rs
@@ -89,7 +89,7 @@
         interval_ms: 4,
         full: true,
         multi_engine_prompts: 5,
-        waiting: vec![Demand {
+        queued: vec![Demand {
             due_ms: -6,
             reading_ms: 7,
         }],
@@ -124,7 +124,7 @@
         evacuations: evacuation::Snapshot {
             at: Some(Position::new(37, 38)),
             domains: vec!["evacuated".into()],
-            lost: vec![evacuation::MissingEvacuation {
+            missing: vec![evacuation::MissingEvacuation {
                 domain: "lost".into(),
                 left_ms: 39,
             }],
@@ -132,10 +132,10 @@
         holdings: vec![Holding {
             server: key(0x40),
             load: Load {
-                placed: 41,
+                placed_micros: 41,
                 memory: 42,
                 running: -43,
-                at_risk: [44, 45, 46],
+                value_at_risk: [44, 45, 46],
             },
             added: 47,
         }],
@@ -157,7 +157,7 @@
         problem: "problem".into(),
     };
     StoreUpdate::Servers(Servers {
-        after: Position::new(4, 5),
+        base: Position::new(4, 5),
         position: Position::new(6, 7),
         grace_ms: 8,
         fragment: Fragment {
@@ -271,11 +271,11 @@
 #[test]
 fn store_confirmations() {
     check(
-        &Message::ConfirmationRequest(ConfirmationRequest { asked_us: 1_001 }),
+        &Message::ConfirmationRequest(ConfirmationRequest { sent_us: 1_001 }),
         "03e907",
     );
     let confirmation = Confirmation {
-        asked_us: 1,
+        sent_us: 1,
         age: Some(Duration::new(2, 3)),
         config: 4,
         servers: 5,
@@ -303,7 +303,7 @@
     let old = config(51, &[("old", Kind::Idempotent)]);
     let new = config(52, &[("new", STREAM)]);
     let patch = Patch::between(&old, &new).expect("a patch");
-    assert_eq!(old.patched(&patch).as_ref(), Some(&new));
+    assert_eq!(old.apply_patch(&patch).as_ref(), Some(&new));
     check(
         &Message::StoreUpdate(StoreUpdate::Config(patch)),
         "\
@@ -339,7 +339,7 @@
 
 #[test]
 fn loans() {
-    let request = loan::Request {
+    let request = loan::LoanRequest {
         number: 1,
         service: "service".into(),
         missing: 2,
@@ -350,7 +350,7 @@
 
 #[test]
 fn grants() {
-    let request = rate_limit::Request {
+    let request = rate_limit::GrantRequest {
         number: 1,
         host: "host".into(),
         server: key(0x02),
@@ -362,7 +362,7 @@
         "\
         090104686f737402a1a2a3a4a50131a1a2a3a4a520210134a1a2a3a4a52324",
     );
-    let only_cold = rate_limit::Request {
+    let only_cold = rate_limit::GrantRequest {
         report: None,
         ..request
     };
