--- a/crates/alderglade-core/tests/testsuite/fleet/cold.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/cold.rs
@@ -1,7 +1,7 @@
 //! Cold servers: the requests of all hosts together in one second, with network partitions and changing owners.
 
-use super::chance::Chance;
 use super::key;
+use super::rng::SeededRng;
 use alderglade_core::Name;
 use alderglade_core::fleet::rate_limit::cold::Bound;
 use alderglade_core::fleet::rate_limit::{self, Limits, OwnerView};
@@ -43,7 +43,7 @@
 struct World {
     hosts: Vec<Host>,
     per_second: f64,
-    chance: Chance,
+    rng: SeededRng,
     now: Time,
     /// The views of the hosts, which reach them with a delay of one millisecond per entry.
     delayed_views: VecDeque<Vec<(usize, bool)>>,
@@ -71,7 +71,7 @@
             delayed_views: std::iter::repeat_n(view, lag_ms.max(1)).collect(),
             hosts,
             per_second,
-            chance: Chance(seed),
+            rng: SeededRng(seed),
             now,
             sends: Vec::new(),
         }
@@ -161,14 +161,14 @@
 #[test]
 fn all_hosts_together_stay_within_the_limit_of_a_cold_server() {
     for seed in 0..30_u64 {
-        let mut chance = Chance(seed);
-        let count = [1, 2, 9, 59, 140][chance.host(5)];
-        let per_second = [1.0, 3.0, 14.0, 40.0][chance.host(4)];
-        let mut world = World::new(count, per_second, chance.host(1_500), seed);
+        let mut rng = SeededRng(seed);
+        let count = [1, 2, 9, 59, 140][rng.next_host(5)];
+        let per_second = [1.0, 3.0, 14.0, 40.0][rng.next_host(4)];
+        let mut world = World::new(count, per_second, rng.next_host(1_500), seed);
         world.run(Duration::from_secs(6), |world| {
-            let drawn = world.chance.below(4_000);
-            let host = world.chance.host(world.hosts.len());
-            let side = world.chance.host(4);
+            let drawn = world.rng.next_below(4_000);
+            let host = world.rng.next_host(world.hosts.len());
+            let side = world.rng.next_host(4);
             match drawn {
                 0..4 => world.hosts[host].side = side,
                 4 => world.hosts.iter_mut().for_each(|host| host.side = 0),
--- a/crates/alderglade-core/tests/testsuite/fleet/evacuation.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/evacuation.rs
@@ -1,6 +1,6 @@
 //! Evacuated failure domains: all hosts reach the same state, however late, often and in which order messages arrive.
 
-use super::chance::Chance;
+use super::rng::SeededRng;
 use alderglade_core::Name;
 use alderglade_core::fleet::directory::{Change, Directory};
 use alderglade_core::fleet::evacuation::{self, Evacuations, RESTORED_GRACE, Snapshot};
@@ -120,28 +120,28 @@
 #[test]
 fn all_hosts_converge_to_the_stores_state() {
     for seed in 0..12_u64 {
-        let mut chance = Chance(seed);
-        let count = [3, 60, 1_000][chance.host(3)];
+        let mut rng = SeededRng(seed);
+        let count = [3, 60, 1_000][rng.next_host(3)];
         let mut store = domains(&[]);
         let mut hosts: Vec<Evacuations> = (0..count).map(|_| Evacuations::default()).collect();
         let mut envelopes: Vec<(usize, Snapshot)> = Vec::new();
         let mut revision = 1;
         for _ in 0..60 {
-            revision += 1 + chance.below(3);
-            let domain = ["north", "south", "east"][chance.host(3)];
+            revision += 1 + rng.next_below(3);
+            let domain = ["north", "south", "east"][rng.next_host(3)];
             if !store.remove(domain) {
                 store.insert(domain.into());
             }
-            hosts[chance.host(count)].replace(store.clone(), at(revision), NOW);
+            hosts[rng.next_host(count)].replace(store.clone(), at(revision), NOW);
             for _ in 0..count.min(40) {
-                let from = chance.host(count);
-                envelopes.push((chance.host(count), hosts[from].snapshot(NOW)));
+                let from = rng.next_host(count);
+                envelopes.push((rng.next_host(count), hosts[from].snapshot(NOW)));
             }
-            if chance.below(4) == 0 {
-                hosts[chance.host(count)] = Evacuations::default();
+            if rng.next_below(4) == 0 {
+                hosts[rng.next_host(count)] = Evacuations::default();
             }
-            for _ in 0..chance.host(envelopes.len() + 1) {
-                let (to, snapshot) = envelopes.swap_remove(chance.host(envelopes.len()));
+            for _ in 0..rng.next_host(envelopes.len() + 1) {
+                let (to, snapshot) = envelopes.swap_remove(rng.next_host(envelopes.len()));
                 hosts[to].apply_snapshot(&snapshot, NOW);
             }
         }
--- a/crates/alderglade-core/tests/testsuite/fleet/fanout.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/fanout.rs
@@ -1,7 +1,7 @@
 //! Notices forwarded in other failure domains by one of their hosts: who receives them, and the traffic between
 //! domains.
 
-use super::{empty_notice, hold, key};
+use super::{empty_notice, key, reservation};
 use crate::each_seed;
 use alderglade_core::Name;
 use alderglade_core::fleet::fanout::{Fanout, fanout};
@@ -208,7 +208,7 @@
                 let from = &mut fleet.hosts[host];
                 if u.ratio(1, 3)? {
                     from.reservations
-                        .push(from.loads.reserve(hold("e", 1_000, 10), now));
+                        .push(from.loads.reserve(reservation("e", 1_000, 10), now));
                 } else if let Some(id) = from.reservations.pop() {
                     from.loads.release(id, now);
                 }
@@ -258,7 +258,9 @@
             fleet.broadcast(u, host, 0, true, now)?;
         }
         fleet.cross_domain_sends = 0;
-        fleet.hosts[7].loads.reserve(hold("e", 1_000, 10), now);
+        fleet.hosts[7]
+            .loads
+            .reserve(reservation("e", 1_000, 10), now);
         fleet.broadcast(u, 7, 1, false, now)?;
         assert_eq!(fleet.cross_domain_sends, 4);
         for host in &fleet.hosts {
--- a/crates/alderglade-core/tests/testsuite/fleet/incarnation.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/incarnation.rs
@@ -1,7 +1,7 @@
 //! Backend servers that restart under the same id, and entries that can't be parsed: the life of a single server, and
 //! seeded schedules of several hosts whose knowledge differs in age.
 
-use super::{empty_notice, hold, key, profile};
+use super::{empty_notice, key, profile, reservation};
 use crate::each_seed;
 use alderglade_core::fleet::directory::{Change, Directory, Listing, Server};
 use alderglade_core::fleet::faults::Fault;
@@ -225,7 +225,7 @@
 
     let mut loads = LoadTable::default();
     loads.set_engines([(first, profile())].into());
-    let reservation = hold("a", 900_000, 90_000);
+    let reservation = reservation("a", 900_000, 90_000);
     let reservation = alderglade_core::fleet::load_table::Reservation {
         primary: first,
         ..reservation
@@ -449,7 +449,7 @@
                 running[incarnation] -= 1;
             } else {
                 let incarnation = u.int_in_range(0..=3)?;
-                let mut reservation = hold("a", 1_000, 10);
+                let mut reservation = reservation("a", 1_000, 10);
                 reservation.primary = incarnations[incarnation];
                 reservations.push((incarnation, sender.reserve(reservation, Time(0))));
                 running[incarnation] += 1;
--- a/crates/alderglade-core/tests/testsuite/fleet/load_table.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/load_table.rs
@@ -1,6 +1,6 @@
 //! The load table under lost, duplicated and reordered notices, and when hosts die.
 
-use super::{empty_notice, hold, key, profile};
+use super::{empty_notice, key, profile, reservation};
 use crate::each_seed;
 use alderglade_core::Name;
 use alderglade_core::fleet::heartbeat;
@@ -52,7 +52,7 @@
 #[test]
 fn a_request_counts_from_its_placement_to_its_end() {
     let mut loads = table_with_engines(&["e1"]);
-    let id = loads.reserve(hold("e1", 30_000, 6_000), Time(0));
+    let id = loads.reserve(reservation("e1", 30_000, 6_000), Time(0));
     assert_eq!(loads.total(key("e1")).running, 1);
     assert_eq!(memory(&loads, "e1"), 6_000);
     assert!(loads.backlog(key("e1"), Time(0)).total() >= 30.0);
@@ -67,7 +67,7 @@
 #[test]
 fn a_released_and_renewed_reservation_counts_its_reading_once() {
     let mut loads = table_with_engines(&["e1"]);
-    let id = loads.reserve(hold("e1", 30_000, 6_000), Time(0));
+    let id = loads.reserve(reservation("e1", 30_000, 6_000), Time(0));
     let backlog = loads.backlog(key("e1"), Time(0)).total();
     let suspended = loads.release(id, Time(0)).expect("a known reservation");
     assert!(is_empty_at(&loads, "e1"));
@@ -81,7 +81,7 @@
 #[test]
 fn marking_read_or_releasing_twice_changes_nothing() {
     let mut loads = LoadTable::default();
-    let id = loads.reserve(hold("e1", 30_000, 6_000), Time(0));
+    let id = loads.reserve(reservation("e1", 30_000, 6_000), Time(0));
     loads.mark_read(id, Time(0));
     loads.mark_read(id, Time(0));
     loads.release(id, Time(0));
@@ -96,7 +96,7 @@
     let mut loads = LoadTable::default();
     let multi_engine = Reservation {
         multi_engine: true,
-        ..hold("e1", 50_000, 90_000)
+        ..reservation("e1", 50_000, 90_000)
     };
     let id = loads.reserve(multi_engine, Time(0));
     assert_eq!(loads.multi_engine_prompts(), 1);
@@ -114,8 +114,8 @@
 fn loads_of_peers_add_up_and_changes_are_reported_once() {
     let mut sender = LoadTable::default();
     let mut receiver = LoadTable::default();
-    receiver.reserve(hold("e1", 1_000, 10), Time(0));
-    let id = sender.reserve(hold("e1", 2_000, 20), Time(0));
+    receiver.reserve(reservation("e1", 1_000, 10), Time(0));
+    let id = sender.reserve(reservation("e1", 2_000, 20), Time(0));
     receiver.apply_notice(&notice("a", 1, 1, false, &mut sender), Time(0));
     assert_eq!(memory(&receiver, "e1"), 30);
     assert!(!sender.has_changes());
@@ -130,7 +130,7 @@
     let mut sender = LoadTable::default();
     let mut receiver = table_with_engines(&["e1"]);
     receiver.apply_notice(&notice("a", 1, 1, true, &mut sender), Time(0));
-    sender.reserve(hold("e1", 200_000, 20), Time(0));
+    sender.reserve(reservation("e1", 200_000, 20), Time(0));
     let changes = notice("a", 1, 2, false, &mut sender);
     receiver.apply_notice(&changes, Time(0));
     receiver.apply_notice(&changes, Time(0));
@@ -149,11 +149,11 @@
 fn the_next_notice_corrects_a_lost_one() {
     let mut sender = LoadTable::default();
     let mut receiver = table_with_engines(&["e1"]);
-    sender.reserve(hold("e1", 1_000, 20), Time(0));
+    sender.reserve(reservation("e1", 1_000, 20), Time(0));
     receiver.apply_notice(&notice("a", 1, 1, false, &mut sender), Time(0));
-    sender.reserve(hold("e1", 100_000, 20), Time(0));
+    sender.reserve(reservation("e1", 100_000, 20), Time(0));
     notice("a", 1, 2, false, &mut sender);
-    sender.reserve(hold("e1", 150_000, 20), Time(0));
+    sender.reserve(reservation("e1", 150_000, 20), Time(0));
     receiver.apply_notice(&notice("a", 1, 3, false, &mut sender), Time(0));
     let backlog = receiver.backlog(key("e1"), Time(0)).total();
     assert!((251.0..310.0).contains(&backlog), "{backlog}");
@@ -163,7 +163,7 @@
 fn the_first_notice_of_a_host_adds_no_old_reading() {
     let mut sender = LoadTable::default();
     let mut receiver = table_with_engines(&["e1"]);
-    sender.reserve(hold("e1", 900_000, 20), Time(0));
+    sender.reserve(reservation("e1", 900_000, 20), Time(0));
     sender.take_changes();
     receiver.apply_notice(&notice("a", 1, 1, true, &mut sender), Time(0));
     assert!(receiver.backlog(key("e1"), Time(0)).total() < 100.0);
@@ -175,9 +175,9 @@
 fn the_first_notice_about_a_server_adds_only_the_increase() {
     let mut sender = LoadTable::default();
     let mut receiver = table_with_engines(&["e1"]);
-    sender.reserve(hold("e1", 900_000, 20), Time(0));
+    sender.reserve(reservation("e1", 900_000, 20), Time(0));
     sender.take_changes();
-    sender.reserve(hold("e1", 200_000, 20), Time(0));
+    sender.reserve(reservation("e1", 200_000, 20), Time(0));
     receiver.apply_notice(&notice("a", 1, 1, false, &mut sender), Time(0));
     let backlog = receiver.backlog(key("e1"), Time(0)).total();
     assert!((200.0..260.0).contains(&backlog), "{backlog}");
@@ -187,7 +187,7 @@
 fn an_older_notice_is_dropped() {
     let mut sender = LoadTable::default();
     let mut receiver = LoadTable::default();
-    let id = sender.reserve(hold("e1", 2_000, 20), Time(0));
+    let id = sender.reserve(reservation("e1", 2_000, 20), Time(0));
     let old = notice("a", 1, 1, true, &mut sender);
     sender.release(id, Time(0));
     receiver.apply_notice(&notice("a", 1, 2, true, &mut sender), Time(0));
@@ -199,10 +199,10 @@
 fn a_new_incarnation_replaces_all_holdings_of_the_old_one() {
     let mut receiver = LoadTable::default();
     let mut first = LoadTable::default();
-    first.reserve(hold("e1", 2_000, 20), Time(0));
+    first.reserve(reservation("e1", 2_000, 20), Time(0));
     assert!(receiver.apply_notice(&notice("a", 1, 9, true, &mut first), Time(0)));
     let mut second = LoadTable::default();
-    second.reserve(hold("e2", 500, 5), Time(0));
+    second.reserve(reservation("e2", 500, 5), Time(0));
     assert!(receiver.apply_notice(&notice("a", 2, 1, false, &mut second), Time(0)));
     assert!(is_empty_at(&receiver, "e1"));
     assert_eq!(memory(&receiver, "e2"), 5);
@@ -214,7 +214,7 @@
 fn holdings_of_a_silent_host_expire() {
     let mut receiver = LoadTable::default();
     let mut sender = LoadTable::default();
-    sender.reserve(hold("e1", 2_000, 20), Time(0));
+    sender.reserve(reservation("e1", 2_000, 20), Time(0));
     receiver.apply_notice(&notice("a", 1, 1, true, &mut sender), Time(0));
     assert!(receiver.expire(Time(0) + EXPIRY).is_empty());
     let late = Time(0) + EXPIRY + Duration::from_millis(1);
@@ -303,7 +303,7 @@
                     sender.mark_read(reserved[index], Time(0));
                 }
                 _ => {
-                    let reservation = hold(&server, u.int_in_range(0..=90_000)?, 7_000);
+                    let reservation = reservation(&server, u.int_in_range(0..=90_000)?, 7_000);
                     reserved.push(sender.reserve(reservation, Time(0)));
                 }
             }
--- a/crates/alderglade-core/tests/testsuite/fleet/loan.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/loan.rs
@@ -1,7 +1,7 @@
 //! Loans between hosts' retry budgets: the bound holds over all hosts even if messages are lost, late or duplicated,
 //! and unused parts are spent where the failures are.
 
-use super::chance::Chance;
+use super::rng::SeededRng;
 use alderglade_core::Name;
 use alderglade_core::fleet::budget::{Bound, Budget, LOAN_LIFETIME, UNITS_PER_RETRY};
 use alderglade_core::fleet::loan::{Loan, LoanRequest, LoanRequests};
@@ -61,11 +61,11 @@
     requests: Vec<Time>,
     retries: Vec<Time>,
     incarnations: u64,
-    chance: Chance,
+    rng: SeededRng,
 }
 
 impl Fleet {
-    fn new(hosts: usize, lost_percent: u64, duplicated_percent: u64, chance: Chance) -> Fleet {
+    fn new(hosts: usize, lost_percent: u64, duplicated_percent: u64, rng: SeededRng) -> Fleet {
         Fleet {
             hosts: (0..hosts)
                 .map(|host| Host::start(Time(0), host as u64))
@@ -78,28 +78,28 @@
             requests: Vec::new(),
             retries: Vec::new(),
             incarnations: hosts as u64,
-            chance,
+            rng,
         }
     }
 
     fn send(&mut self, from: usize, to: usize, message: &Message) {
-        let copies = if self.chance.below(100) < self.duplicated_percent {
+        let copies = if self.rng.next_below(100) < self.duplicated_percent {
             2
         } else {
             1
         };
         for _ in 0..copies {
-            let is_lost = self.chance.below(100) < self.lost_percent;
+            let is_lost = self.rng.next_below(100) < self.lost_percent;
             if is_lost || (from < self.partition) != (to < self.partition) {
                 continue;
             }
             // Some arrive long after their loan has expired.
-            let max_delay = if self.chance.below(20) == 0 {
+            let max_delay = if self.rng.next_below(20) == 0 {
                 2_000
             } else {
                 30
             };
-            let at = self.now + Duration::from_millis(self.chance.below(max_delay));
+            let at = self.now + Duration::from_millis(self.rng.next_below(max_delay));
             let message = message.clone();
             self.envelopes.push(Envelope {
                 at,
@@ -149,7 +149,7 @@
         }
         let missing = host.budget.missing(self.now, count);
         let request = host.loan_requests.create(&service(), missing, self.now);
-        let to = self.chance.host(count);
+        let to = self.rng.next_host(count);
         self.send(from, to, &Message::Request(request));
         false
     }
@@ -157,15 +157,15 @@
     /// Has a host act or the network change.
     fn step(&mut self, restarted: &mut [bool]) {
         let count = self.hosts.len();
-        self.now = self.now + Duration::from_millis(self.chance.below(9));
+        self.now = self.now + Duration::from_millis(self.rng.next_below(9));
         self.deliver();
-        let host = self.chance.host(count);
-        match self.chance.below(200) {
+        let host = self.rng.next_host(count);
+        match self.rng.next_below(200) {
             0..=49 => {
                 self.hosts[host].budget.record_request(self.now);
                 self.requests.push(self.now);
             }
-            50 => self.partition = self.chance.host(count),
+            50 => self.partition = self.rng.next_host(count),
             51 => self.partition = 0,
             // A host restarts at most once in a window.
             52 if !restarted[host] => {
@@ -204,10 +204,10 @@
     const STEPS: u64 = 6_000;
     for hosts in [6, 9, 40, 295, 400] {
         for seed in 0..12 {
-            let mut chance = Chance(seed);
-            let (lost_percent, duplicated_percent) = (chance.below(40), chance.below(40));
-            let all_restart_at = chance.below(STEPS);
-            let mut fleet = Fleet::new(hosts, lost_percent, duplicated_percent, chance);
+            let mut rng = SeededRng(seed);
+            let (lost_percent, duplicated_percent) = (rng.next_below(40), rng.next_below(40));
+            let all_restart_at = rng.next_below(STEPS);
+            let mut fleet = Fleet::new(hosts, lost_percent, duplicated_percent, rng);
             let mut restarted = vec![false; hosts];
             for step in 0..STEPS {
                 fleet.step(&mut restarted);
@@ -238,7 +238,7 @@
         .count();
     assert_eq!(equal, 1);
     for seed in 0..4 {
-        let mut fleet = Fleet::new(HOSTS, 3, 1, Chance(seed));
+        let mut fleet = Fleet::new(HOSTS, 3, 1, SeededRng(seed));
         for host in (0..FAILING).flat_map(|host| [host; FAILURES_PER_HOST]) {
             for _ in 0..FAILURES_PER_HOST {
                 if fleet.retry(host) {
--- a/crates/alderglade-core/tests/testsuite/fleet/mod.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/mod.rs
@@ -3,7 +3,6 @@
 mod backoff;
 mod budget;
 mod caller;
-mod chance;
 mod cold;
 mod config;
 mod connectivity;
@@ -31,6 +30,7 @@
 mod relay;
 mod request_state;
 mod restored;
+mod rng;
 mod slowdown;
 mod sse;
 
@@ -99,7 +99,7 @@
 }
 
 /// Returns the reservation of one request at one server; `reading` is in microseconds.
-fn hold(server: &str, reading: u64, memory: i64) -> Reservation {
+fn reservation(server: &str, reading: u64, memory: i64) -> Reservation {
     Reservation {
         primary: key(server),
         load: Load {
--- a/crates/alderglade-core/tests/testsuite/fleet/rate_limit.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/rate_limit.rs
@@ -1,7 +1,7 @@
 //! Rate limits of servers: they hold for all hosts together even if messages are lost or late and hosts come and go.
 
-use super::chance::Chance;
 use super::key;
+use super::rng::SeededRng;
 use alderglade_core::Name;
 use alderglade_core::fleet::rate_limit::{self, Grant, GrantRequest, Limits, OwnerView};
 use alderglade_core::fleet::statement::Rate;
@@ -75,7 +75,7 @@
 /// Hosts that send to one server.
 struct World {
     run: Run,
-    chance: Chance,
+    rng: SeededRng,
     hosts: Vec<Host>,
     /// For each host, the times at which it came and went. Others learn of them with a delay.
     availability: Vec<Vec<(Time, bool)>>,
@@ -87,20 +87,20 @@
 
 impl World {
     fn new(run: Run, seed: u64) -> World {
-        let mut chance = Chance(seed);
+        let mut rng = SeededRng(seed);
         let hosts: Vec<Host> = (0..run.hosts)
             .map(|number| Host {
                 name: format!("h{number}").into(),
                 limits: Limits::default(),
                 up_since: Time(0),
-                lag: ms(chance.below(run.max_lag_ms)),
+                lag: ms(rng.next_below(run.max_lag_ms)),
                 open: HashMap::new(),
             })
             .collect();
         let mut world = World {
             availability: hosts.iter().map(|_| vec![(Time(0), true)]).collect(),
             run,
-            chance,
+            rng,
             hosts,
             envelopes: Vec::new(),
             sends: Vec::new(),
@@ -159,7 +159,7 @@
             self.deliver();
             for host in 0..self.hosts.len() {
                 self.expire_requests(host);
-                if self.chance.below(1_000) < self.run.requests_per_second
+                if self.rng.next_below(1_000) < self.run.requests_per_second
                     && self.is_up(host, self.now)
                 {
                     self.try_send(host);
@@ -171,9 +171,9 @@
     /// Stops the host that owns the limit, or another one. It restarts after two seconds and has received the limit
     /// again.
     fn fail_one(&mut self) {
-        let drawn = self.chance.host(self.hosts.len());
+        let drawn = self.rng.next_host(self.hosts.len());
         let owner = self.owner(drawn);
-        let victim = if self.chance.below(2) == 0 {
+        let victim = if self.rng.next_below(2) == 0 {
             owner
         } else {
             drawn
@@ -255,10 +255,10 @@
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        if self.chance.below(100) < self.run.lost_percent {
+        if self.rng.next_below(100) < self.run.lost_percent {
             return;
         }
-        let at = self.now + ms(1 + self.chance.below(30));
+        let at = self.now + ms(1 + self.rng.next_below(30));
         self.envelopes.push(Envelope {
             at,
             from,
@@ -306,16 +306,16 @@
 #[test]
 fn all_hosts_together_stay_within_a_limit() {
     for seed in 0..60_u64 {
-        let mut chance = Chance(seed);
-        let hosts = [2, 3, 9, 40, 120][chance.host(5)];
+        let mut rng = SeededRng(seed);
+        let hosts = [2, 3, 9, 40, 120][rng.next_host(5)];
         let run = Run {
-            rate: [0.5, 1.2, 1.7, 5.0, 12.0, 30.0][chance.host(6)],
+            rate: [0.5, 1.2, 1.7, 5.0, 12.0, 30.0][rng.next_host(6)],
             hosts,
             // The delays that heartbeats of few hosts and of many allow.
             max_lag_ms: if hosts > 40 { 2_600 } else { 900 },
-            lost_percent: chance.below(20),
-            failure_interval: (seed % 3 != 0).then(|| ms(1_500 + chance.below(4_000))),
-            requests_per_second: [1, 10, 100][chance.host(3)],
+            lost_percent: rng.next_below(20),
+            failure_interval: (seed % 3 != 0).then(|| ms(1_500 + rng.next_below(4_000))),
+            requests_per_second: [1, 10, 100][rng.next_host(3)],
         };
         let mut world = World::new(run, seed);
         world.run(Duration::from_secs(20));
--- a/crates/alderglade-core/tests/testsuite/fleet/chance.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/rng.rs
@@ -1,11 +1,11 @@
 //! A seeded random number generator.
 
 /// Pseudorandom numbers from a seed. Unlike a byte buffer, it never runs out in tests with thousands of steps.
-pub(super) struct Chance(pub(super) u64);
+pub(super) struct SeededRng(pub(super) u64);
 
-impl Chance {
+impl SeededRng {
     /// Returns a number below `end`, which must not be zero.
-    pub(super) fn below(&mut self, end: u64) -> u64 {
+    pub(super) fn next_below(&mut self, end: u64) -> u64 {
         // SplitMix64 mixes the bits of each step over the whole word.
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut word = self.0;
@@ -15,7 +15,7 @@
     }
 
     /// Returns the index of one of `count` hosts.
-    pub(super) fn host(&mut self, count: usize) -> usize {
-        self.below(count as u64) as usize
+    pub(super) fn next_host(&mut self, count: usize) -> usize {
+        self.next_below(count as u64) as usize
     }
 }
--- a/crates/alderglade-serve/src/attempt.rs
+++ b/crates/alderglade-serve/src/attempt.rs
@@ -119,7 +119,7 @@
         Error::Lost { .. } => {
             node.record_outcome(server.key(), Outcome::Broken);
             // Peers are notified immediately: they may be about to send to that server, too.
-            node.loads_changed.notify_one();
+            node.notice_due.notify_one();
             handle_broken_off(node, job, server, None).await;
             SendFailure::Lost
         }
--- a/crates/alderglade-serve/src/forward.rs
+++ b/crates/alderglade-serve/src/forward.rs
@@ -6,7 +6,7 @@
 use crate::event::{self, Record};
 use crate::job::Job;
 use crate::memory::Portion;
-use crate::node::{InFlight, Node, Progress};
+use crate::node::{Node, Progress, RequestGuard};
 use crate::translate::RequestInfo;
 use crate::{generate, unary};
 use alderglade_core::Name;
@@ -59,7 +59,7 @@
         Ok(job) => answer(&node, job, in_flight).await,
     };
     guard.done = true;
-    if !node.ready() {
+    if !node.is_ready() {
         end_connection(&mut response);
     }
     response
@@ -67,7 +67,7 @@
 
 /// Serves an admitted request. If the host is about to stop before there is a response, the caller is informed that
 /// it is unknown whether the request ran.
-async fn answer(node: &Rc<Node>, job: Job, in_flight: InFlight) -> Response<Answer> {
+async fn answer(node: &Rc<Node>, job: Job, in_flight: RequestGuard) -> Response<Answer> {
     let (id, arrived) = (job.info.id.clone(), job.arrived());
     let served = async {
         match job.route.kind {
@@ -132,7 +132,7 @@
     head: Parts,
     body: Incoming,
     info: RequestInfo,
-    in_flight: &InFlight,
+    in_flight: &RequestGuard,
 ) -> Result<Job, Refusal> {
     let config = node.wait_for_config(STARTUP_TIMEOUT).await;
     let config = config.ok_or_else(|| Refusal::new(ErrorKind::NotReady, RETRY_ELSEWHERE_DELAY))?;
--- a/crates/alderglade-serve/src/generate.rs
+++ b/crates/alderglade-serve/src/generate.rs
@@ -10,7 +10,7 @@
 use crate::event::{self, Record};
 use crate::forward;
 use crate::job::Job;
-use crate::node::{InFlight, Node, Permit, ReservationGuard, Stage};
+use crate::node::{Node, Permit, RequestGuard, ReservationGuard, Stage};
 use crate::relay;
 use crate::slowdown::Reading;
 use crate::ticket::Tickets;
@@ -128,7 +128,7 @@
 }
 
 /// Serves a generation. `in_flight` counts the request until the stream has ended.
-pub async fn serve(node: &Rc<Node>, job: Job, in_flight: InFlight) -> Response<Content> {
+pub async fn serve(node: &Rc<Node>, job: Job, in_flight: RequestGuard) -> Response<Content> {
     node.record_first_send(&job.service);
     let mut state = SendState::default();
     let last_event = job.info.last_event.clone();
@@ -154,7 +154,7 @@
     let mut request_state: RequestState<Waiting> = RequestState::new();
     let mut next = None;
     loop {
-        job.progress.set_stage(Stage::Waits);
+        job.progress.set_stage(Stage::Waiting);
         let PermittedPlan { plan, permit } = match next.take() {
             Some(permitted) => permitted,
             None => next_plan(node, job, state, &request_state).await?,
--- a/crates/alderglade-serve/src/generate/place.rs
+++ b/crates/alderglade-serve/src/generate/place.rs
@@ -40,9 +40,10 @@
         if state.sends == 0 && !node.accepts_requests() {
             return Err(request_state.refuse(ErrorKind::Draining, RETRY_DELAY));
         }
-        if let Some(Unavailability { kind, after }) = node.unavailability(&job.service, &job.homes)
+        if let Some(Unavailability { kind, retry_after }) =
+            node.unavailability(&job.service, &job.homes)
         {
-            return Err(request_state.refuse(kind, after));
+            return Err(request_state.refuse(kind, retry_after));
         }
         let ends_in = node.ends_in();
         match decide(node, job, state, &mut queue) {
@@ -130,7 +131,7 @@
     let service = ServiceState {
         queued_before,
         multi_engine_prompts: node.state.borrow().loads.multi_engine_prompts(),
-        pressure: node.pressure(placement::pressure(&engines)),
+        pressure: node.update_pressure(placement::pressure(&engines)),
         engines: engines.len(),
     };
     placement::choose(&work, &engines, &service)
--- a/crates/alderglade-serve/src/listen.rs
+++ b/crates/alderglade-serve/src/listen.rs
@@ -125,7 +125,7 @@
 /// Answers the balancer's readiness check: whether the host accepts new connections.
 pub async fn serve_readiness(node: Rc<Node>, listener: TcpListener) {
     simple(listener, move |_| {
-        let status = if node.ready() {
+        let status = if node.is_ready() {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
--- a/crates/alderglade-serve/src/node.rs
+++ b/crates/alderglade-serve/src/node.rs
@@ -28,7 +28,7 @@
 
 pub use alderglade_core::fleet::message::Host;
 pub use choice::Unavailability;
-pub use guard::{CallGuard, ConnectionGuard, InFlight, QueueGuard, ReservationGuard};
+pub use guard::{CallGuard, ConnectionGuard, QueueGuard, RequestGuard, ReservationGuard};
 pub use hosts::Hosts;
 pub use outbox::{Envelope, Recipients};
 pub use permit::{NotPermitted, Permit};
@@ -85,7 +85,7 @@
     /// A moving average of how much the engines have to read.
     pressure: Cell<choice::Pressure>,
     /// Wakes the task that sends changes to peers.
-    pub loads_changed: Notify,
+    pub notice_due: Notify,
     /// Wakes requests that wait until a host that has just started can serve them.
     startup_progress: Notify,
     /// Messages for single hosts that were not sent yet.
@@ -141,7 +141,7 @@
             started: clock::now(),
             store_contact: Cell::default(),
             pressure: Cell::default(),
-            loads_changed: Notify::new(),
+            notice_due: Notify::new(),
             startup_progress: Notify::new(),
             envelopes: RefCell::default(),
             envelopes_queued: Notify::new(),
@@ -174,7 +174,7 @@
 
     /// Returns whether the load balancer should send new connections to this host: it knows what to serve, isn't
     /// stopping, and isn't disconnected from the store.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let state = self.state.borrow();
         let known = state.config.is_some() && !state.directory.is_empty();
         let known = known && self.knows_evacuations(&state);
@@ -191,13 +191,13 @@
     }
 
     /// Counts a request in flight until the guard is dropped.
-    pub fn track_request(self: &Rc<Node>) -> InFlight {
+    pub fn track_request(self: &Rc<Node>) -> RequestGuard {
         let progress = Rc::new(Progress::new(clock::now()));
         self.metrics.in_flight.inc();
         if self.is_stopping() {
             self.metrics.taken_stopping.inc();
         }
-        InFlight {
+        RequestGuard {
             node: self.clone(),
             number: self.requests_in_flight.add(progress.clone()),
             progress,
@@ -218,7 +218,7 @@
             .borrow_mut()
             .loads
             .reserve(reservation, clock::now());
-        self.loads_changed.notify_one();
+        self.notice_due.notify_one();
         ReservationGuard::new(self.clone(), id)
     }
 
@@ -258,7 +258,7 @@
         let may_be_full = key == asked.key() && state.loads.total(key).running >= slots;
         if !may_be_full {
             state.health.eject(key, clock::now());
-            self.loads_changed.notify_one();
+            self.notice_due.notify_one();
             event::write(&Record::ServerRefusing {
                 server: server.id(),
                 by: asked.id(),
--- a/crates/alderglade-serve/src/node/choice.rs
+++ b/crates/alderglade-serve/src/node/choice.rs
@@ -45,7 +45,7 @@
     /// The error kind that is sent to the caller.
     pub kind: ErrorKind,
     /// The delay before a retry.
-    pub after: Duration,
+    pub retry_after: Duration,
 }
 
 /// A moving average of how much the engines have to read.
@@ -90,8 +90,8 @@
             }
             available_in = Some(available_in.map_or(left, |least| least.min(left)));
         }
-        let (kind, after) = match available_in {
-            Some(after) => (ErrorKind::Overloaded, after),
+        let (kind, retry_after) = match available_in {
+            Some(retry_after) => (ErrorKind::Overloaded, retry_after),
             None => {
                 let mut known = directory.active_of(service).peekable();
                 let any_known = known.peek().is_some();
@@ -104,7 +104,7 @@
                 }
             }
         };
-        Some(Unavailability { kind, after })
+        Some(Unavailability { kind, retry_after })
     }
 
     /// Returns the engines of a service that accept work from this host now and may run a request that is restricted
@@ -145,7 +145,7 @@
     }
 
     /// Adds the current pressure on the engines to its moving average and returns the average.
-    pub fn pressure(&self, current: f64) -> f64 {
+    pub fn update_pressure(&self, current: f64) -> f64 {
         /// The time constant of the moving average, in seconds; about as long as a long prompt is read.
         const PRESSURE_WINDOW_SECONDS: f64 = 0.7;
         let now = clock::now();
--- a/crates/alderglade-serve/src/node/cold.rs
+++ b/crates/alderglade-serve/src/node/cold.rs
@@ -105,7 +105,7 @@
                 for_ms: span.as_millis() as u64,
             });
         }
-        self.loads_changed.notify_one();
+        self.notice_due.notify_one();
     }
 }
 
--- a/crates/alderglade-serve/src/node/evacuation.rs
+++ b/crates/alderglade-serve/src/node/evacuation.rs
@@ -49,6 +49,6 @@
             self.record_cold_domain(domain);
         }
         event::write(&Record::Evacuated { domains: &domains });
-        self.loads_changed.notify_one();
+        self.notice_due.notify_one();
     }
 }
--- a/crates/alderglade-serve/src/node/guard.rs
+++ b/crates/alderglade-serve/src/node/guard.rs
@@ -8,14 +8,14 @@
 use std::rc::Rc;
 
 /// Counts a request in flight.
-pub struct InFlight {
+pub struct RequestGuard {
     pub(super) node: Rc<Node>,
     pub(super) number: u64,
     /// The progress of the request.
     pub progress: Rc<Progress>,
 }
 
-impl Drop for InFlight {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.node.requests_in_flight.remove(self.number);
         self.node.metrics.in_flight.dec();
@@ -71,14 +71,14 @@
             .borrow_mut()
             .loads
             .reserve(reservation, clock::now());
-        self.node.loads_changed.notify_one();
+        self.node.notice_due.notify_one();
     }
 
     fn release(&self) -> Option<Reservation> {
         let mut state = self.node.state.borrow_mut();
         let reservation = state.loads.release(self.id, clock::now());
         drop(state);
-        self.node.loads_changed.notify_one();
+        self.node.notice_due.notify_one();
         reservation
     }
 
@@ -88,7 +88,7 @@
         let changed = state.loads.mark_read(self.id, clock::now());
         drop(state);
         if changed {
-            self.node.loads_changed.notify_one();
+            self.node.notice_due.notify_one();
         }
     }
 }
@@ -128,7 +128,7 @@
     /// Informs peers that the prompt waits, on the first call.
     pub fn announce(&mut self) {
         if !std::mem::replace(&mut self.announced, true) {
-            self.node.loads_changed.notify_one();
+            self.node.notice_due.notify_one();
         }
     }
 }
@@ -137,7 +137,7 @@
     fn drop(&mut self) {
         self.node.state.borrow_mut().loads.dequeue(self.id);
         if self.announced {
-            self.node.loads_changed.notify_one();
+            self.node.notice_due.notify_one();
         }
     }
 }
--- a/crates/alderglade-serve/src/node/outbox.rs
+++ b/crates/alderglade-serve/src/node/outbox.rs
@@ -108,7 +108,7 @@
         let mut state = self.state.borrow_mut();
         if state.watches_store() {
             state.unpublished_hosts.push(host.clone());
-            self.loads_changed.notify_one();
+            self.notice_due.notify_one();
         }
     }
 
@@ -230,7 +230,7 @@
             .apply_changes(after, &changes, position, now);
         drop(state);
         self.on_servers_changed();
-        self.loads_changed.notify_one();
+        self.notice_due.notify_one();
     }
 
     /// Applies a newer configuration from a peer that watches the store. A patch for another version is ignored, and
--- a/crates/alderglade-serve/src/node/progress.rs
+++ b/crates/alderglade-serve/src/node/progress.rs
@@ -11,28 +11,28 @@
 pub enum Stage {
     /// The request is being received, or waits for a server.
     #[default]
-    Waits,
+    Waiting,
     /// The request was sent to a server and is not answered yet.
     Sent(Name),
     /// The events of a server's answer are being forwarded.
-    PassesOn(Name),
+    Forwarding(Name),
 }
 
 impl Stage {
     /// Returns the stage's label in the log.
     pub fn label(&self) -> &'static str {
         match self {
-            Stage::Waits => "waits",
+            Stage::Waiting => "waits",
             Stage::Sent(_) => "sent",
-            Stage::PassesOn(_) => "passes_on",
+            Stage::Forwarding(_) => "passes_on",
         }
     }
 
     /// Returns the server that works on the request.
     pub fn server(&self) -> Option<&str> {
         match self {
-            Stage::Waits => None,
-            Stage::Sent(server) | Stage::PassesOn(server) => Some(server),
+            Stage::Waiting => None,
+            Stage::Sent(server) | Stage::Forwarding(server) => Some(server),
         }
     }
 }
--- a/crates/alderglade-serve/src/node/quarantine.rs
+++ b/crates/alderglade-serve/src/node/quarantine.rs
@@ -41,7 +41,7 @@
     /// Records that a server has ended.
     pub fn record_server_end(&self, server: Key) {
         self.with_quarantine(|quarantine, now| quarantine.record_server_end(server, now));
-        self.loads_changed.notify_one();
+        self.notice_due.notify_one();
     }
 
     /// Records that a request was answered completely.
@@ -128,7 +128,7 @@
             .borrow_mut()
             .extend(verdicts.into_iter().filter(should_store));
         self.verdicts_ready.notify_one();
-        self.loads_changed.notify_one();
+        self.notice_due.notify_one();
     }
 }
 
--- a/crates/alderglade-serve/src/node/relay.rs
+++ b/crates/alderglade-serve/src/node/relay.rs
@@ -69,7 +69,7 @@
                 state.unpublished_hosts = state.hosts.all();
             }
             // Peers compute the timeout of this host from its last notice, and watchers send notices more often.
-            self.loads_changed.notify_one();
+            self.notice_due.notify_one();
         }
         query
     }
--- a/crates/alderglade-serve/src/node/statement.rs
+++ b/crates/alderglade-serve/src/node/statement.rs
@@ -41,7 +41,7 @@
                 server: server.id(),
             });
             self.on_servers_changed();
-            self.loads_changed.notify_one();
+            self.notice_due.notify_one();
         }
     }
 
@@ -76,7 +76,7 @@
             state.limits.observe_limit(key, rate, sent, clock::now())
         };
         if changed {
-            self.loads_changed.notify_one();
+            self.notice_due.notify_one();
             self.on_limit_changed(key);
         }
     }
--- a/crates/alderglade-serve/src/node/store.rs
+++ b/crates/alderglade-serve/src/node/store.rs
@@ -129,7 +129,7 @@
                 self.startup_sync.record_hosts_listed();
                 self.regroup();
                 // The other hosts learn of this host at once, and it learns of them.
-                self.loads_changed.notify_one();
+                self.notice_due.notify_one();
             }
             StoreEvent::HostGone(name) => {
                 self.update_host_faults(|faults| faults.clear(&name));
@@ -213,7 +213,7 @@
         }
         self.on_servers_changed();
         self.publish_server_changes(after, position, changes);
-        self.loads_changed.notify_one();
+        self.notice_due.notify_one();
     }
 
     /// Applies a configuration, unless the one in force is at least as new.
@@ -237,7 +237,7 @@
         self.metrics.config.set(version.cast_signed());
         self.startup_progress.notify_waiters();
         // Peers that rely on this host's status learn of the newer version at once.
-        self.loads_changed.notify_one();
+        self.notice_due.notify_one();
         event::write(&Record::ConfigInForce { version, before });
     }
 
--- a/crates/alderglade-serve/src/peer.rs
+++ b/crates/alderglade-serve/src/peer.rs
@@ -49,7 +49,7 @@
 /// Sends changes to peers as they occur, after a short delay in which changes are collected.
 async fn send_changes(node: Rc<Node>, sender: send::PeerSender) {
     loop {
-        node.loads_changed.notified().await;
+        node.notice_due.notified().await;
         tokio::time::sleep(BATCH_DELAY).await;
         sender.send_changes().await;
         sender.send_outbox().await;
--- a/crates/alderglade-serve/src/relay.rs
+++ b/crates/alderglade-serve/src/relay.rs
@@ -10,7 +10,7 @@
 use crate::clock;
 use crate::generate::{OpenStream, SendState};
 use crate::job::Job;
-use crate::node::{InFlight, Node, Stage};
+use crate::node::{Node, RequestGuard, Stage};
 use crate::slowdown;
 use alderglade_core::fleet::caller;
 use alderglade_core::fleet::config::Kind;
@@ -43,7 +43,7 @@
     /// When the last event was relayed.
     last_event_at: Option<Time>,
     longest_pause: Duration,
-    _in_flight: InFlight,
+    _in_flight: RequestGuard,
 }
 
 /// Why a server's part of a stream does not continue.
@@ -62,7 +62,7 @@
     job: Job,
     state: SendState,
     open: OpenStream,
-    in_flight: InFlight,
+    in_flight: RequestGuard,
 ) -> Response<Content> {
     let (body_sender, receiver) = BodySender::open(&node.memory);
     let mut response = Response::new(Content::Stream(receiver));
@@ -155,7 +155,7 @@
 
     /// Records in the request's progress that this server's part is being relayed.
     fn record_stage(&self, part: &ServerPart) {
-        let stage = Stage::PassesOn(part.server.id().clone());
+        let stage = Stage::Forwarding(part.server.id().clone());
         self.job.progress.set_stage(stage);
     }
 
--- a/crates/alderglade-serve/src/slowdown.rs
+++ b/crates/alderglade-serve/src/slowdown.rs
@@ -102,7 +102,7 @@
         let mut state = self.state.borrow_mut();
         state.health.eject(server, clock::now());
         drop(state);
-        self.loads_changed.notify_one();
+        self.notice_due.notify_one();
         event::write(&Record::ServerSlow {
             server: known.id(),
             slowdown,
--- a/crates/alderglade-serve/src/unary.rs
+++ b/crates/alderglade-serve/src/unary.rs
@@ -227,7 +227,7 @@
 /// duration.
 fn no_server(node: &Node, job: &Job, request_state: &RequestState<Waiting>) -> Refusal {
     match node.unavailability(&job.service, &job.homes) {
-        Some(Unavailability { kind, after }) => request_state.refuse(kind, after),
+        Some(Unavailability { kind, retry_after }) => request_state.refuse(kind, retry_after),
         None => request_state.refuse(ErrorKind::NoCapacity, RETRY_DELAY),
     }
 }
