--- a/crates/alderglade-core/tests/testsuite/fleet/mod.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/mod.rs
@@ -3,7 +3,6 @@
 mod backoff;
 mod budget;
 mod caller;
-mod chance;
 mod cold;
 mod config;
 mod connectivity;
@@ -18,7 +17,6 @@
 mod heartbeat;
 mod homes;
 mod incarnation;
-mod life;
 mod load_table;
 mod loan;
 mod message;
@@ -30,7 +28,9 @@
 mod rate_limit;
 mod reassembly;
 mod relay;
+mod request_state;
 mod restored;
+mod rng;
 mod slowdown;
 mod sse;
 
@@ -85,7 +85,7 @@
         interval_ms: 250,
         full: false,
         multi_engine_prompts: 0,
-        waiting: Vec::new(),
+        queued: Vec::new(),
         store: StoreStatus::default(),
         leaving: Vec::new(),
         ejections: Vec::new(),
@@ -99,14 +99,14 @@
 }
 
 /// Returns the reservation of one request at one server; `reading` is in microseconds.
-fn hold(server: &str, reading: u64, memory: i64) -> Reservation {
+fn reservation(server: &str, reading: u64, memory: i64) -> Reservation {
     Reservation {
         primary: key(server),
         load: Load {
-            placed: reading,
+            placed_micros: reading,
             memory,
             running: 1,
-            at_risk: [1_300, 0, 0],
+            value_at_risk: [1_300, 0, 0],
         },
         helpers: Vec::new(),
         multi_engine: false,
--- a/crates/alderglade-serve/src/attempt.rs
+++ b/crates/alderglade-serve/src/attempt.rs
@@ -108,7 +108,7 @@
     log_failure(job, server, attempt, &error.to_string());
     match error {
         Error::Unreachable { .. } => {
-            node.record_outcome(server.key(), Outcome::Silent);
+            node.record_outcome(server.key(), Outcome::Unreachable);
             SendFailure::NotSent
         }
         Error::Closed { .. } => {
@@ -119,7 +119,7 @@
         Error::Lost { .. } => {
             node.record_outcome(server.key(), Outcome::Broken);
             // Peers are notified immediately: they may be about to send to that server, too.
-            node.loads_changed.notify_one();
+            node.notice_due.notify_one();
             handle_broken_off(node, job, server, None).await;
             SendFailure::Lost
         }
@@ -137,7 +137,7 @@
 /// Records and logs that a server was silent for longer than allowed.
 pub fn record_silence(node: &Node, job: &Job, server: &Server, attempt: u32, problem: &str) {
     log_failure(job, server, attempt, problem);
-    node.record_outcome(server.key(), Outcome::Silent);
+    node.record_outcome(server.key(), Outcome::Unreachable);
 }
 
 /// Waits until a server has restarted and logs it: a request that was sent to it ended with the former incarnation.
--- a/crates/alderglade-serve/src/node/cold.rs
+++ b/crates/alderglade-serve/src/node/cold.rs
@@ -84,7 +84,7 @@
                 known && state.limits.apply_cold_report(report, clock::now())
             };
             if changed {
-                self.announce_cold(report.server, report.left());
+                self.announce_cold(report.server, report.remaining());
             }
         }
     }
@@ -105,7 +105,7 @@
                 for_ms: span.as_millis() as u64,
             });
         }
-        self.loads_changed.notify_one();
+        self.notice_due.notify_one();
     }
 }
 
--- a/crates/alderglade-serve/src/node/outbox.rs
+++ b/crates/alderglade-serve/src/node/outbox.rs
@@ -89,10 +89,10 @@
             state.grace_ms(clock::now())
         };
         let update = Servers {
-            after,
+            base: after,
             position,
             grace_ms,
-            fragment: Fragment::WHOLE,
+            fragment: Fragment::SINGLE,
             changes: changes.to_vec(),
         };
         let size = |change: &Change| postcard::to_stdvec(change).map_or(usize::MAX, |b| b.len());
@@ -108,7 +108,7 @@
         let mut state = self.state.borrow_mut();
         if state.watches_store() {
             state.unpublished_hosts.push(host.clone());
-            self.loads_changed.notify_one();
+            self.notice_due.notify_one();
         }
     }
 
@@ -213,7 +213,9 @@
     fn apply_server_update(&self, servers: &Servers) {
         let mut state = self.state.borrow_mut();
         let Servers {
-            after, position, ..
+            base: after,
+            position,
+            ..
         } = *servers;
         if !state.directory.needs_changes(after, position) {
             return;
@@ -228,14 +230,14 @@
             .apply_changes(after, &changes, position, now);
         drop(state);
         self.on_servers_changed();
-        self.loads_changed.notify_one();
+        self.notice_due.notify_one();
     }
 
     /// Applies a newer configuration from a peer that watches the store. A patch for another version is ignored, and
     /// the store is queried for the newest version.
     fn apply_config_patch(&self, patch: &Patch) {
         let current = self.state.borrow().config.clone();
-        if let Some(config) = current.and_then(|config| config.patched(patch)) {
+        if let Some(config) = current.and_then(|config| config.apply_patch(patch)) {
             self.apply_store_event(StoreEvent::Config(config));
         }
     }
--- a/crates/alderglade-serve/src/node/statement.rs
+++ b/crates/alderglade-serve/src/node/statement.rs
@@ -41,14 +41,14 @@
                 server: server.id(),
             });
             self.on_servers_changed();
-            self.loads_changed.notify_one();
+            self.notice_due.notify_one();
         }
     }
 
     fn observe_backoff(&self, server: &Server, span: Duration) {
         let is_new = {
             let mut state = self.state.borrow_mut();
-            state.backoffs.note(server.key(), span, clock::now())
+            state.backoffs.extend(server.key(), span, clock::now())
         };
         if is_new {
             event::write(&Record::ServerBackoff {
@@ -76,7 +76,7 @@
             state.limits.observe_limit(key, rate, sent, clock::now())
         };
         if changed {
-            self.loads_changed.notify_one();
+            self.notice_due.notify_one();
             self.on_limit_changed(key);
         }
     }
--- a/crates/alderglade-serve/src/slowdown.rs
+++ b/crates/alderglade-serve/src/slowdown.rs
@@ -32,7 +32,7 @@
         Reading {
             engines: primary.chain(&plan.helpers).copied().collect(),
             began: clock::now(),
-            expected: plan.first_event,
+            expected: plan.time_to_first_event,
         }
     }
 
@@ -102,7 +102,7 @@
         let mut state = self.state.borrow_mut();
         state.health.eject(server, clock::now());
         drop(state);
-        self.loads_changed.notify_one();
+        self.notice_due.notify_one();
         event::write(&Record::ServerSlow {
             server: known.id(),
             slowdown,
