--- a/crates/alderglade-core/tests/testsuite/fleet/quarantine.rs
+++ b/crates/alderglade-core/tests/testsuite/fleet/quarantine.rs
@@ -1,14 +1,13 @@
 //! Which requests are found guilty of server crashes, on hosts that report their findings to each other.
 
 mod several;
+mod several_hosts;
 
 use super::key;
-use crate::each_seed;
 use alderglade_core::fleet::fingerprint::{Content, Fingerprint};
 use alderglade_core::fleet::incarnation::Key;
-use alderglade_core::fleet::quarantine::{BAR_DURATION, Decision, Finding, Quarantine};
+use alderglade_core::fleet::quarantine::{BAR_DURATION, Decision, Quarantine};
 use alderglade_core::time::Time;
-use arbtest::arbitrary::{Result, Unstructured};
 use std::time::Duration;
 
 /// How long a request has run at a server, where the test does not depend on it.
@@ -447,98 +446,3 @@
     );
     assert!(host.quarantine.findings_to_report(true, host.now).len() <= 24);
 }
-
-/// Sends the findings of each host to each other one. Some messages are lost, duplicated or reordered.
-fn exchange(u: &mut Unstructured<'_>, hosts: &mut [Quarantine], now: Time) -> Result<()> {
-    for sender in 0..hosts.len() {
-        let mut sent = hosts[sender].findings_to_report(u.arbitrary()?, now);
-        if u.arbitrary()? {
-            sent.reverse();
-        }
-        let duplicated: Vec<Finding> = sent.iter().chain(&sent).copied().collect();
-        for receiver in (0..hosts.len()).filter(|receiver| *receiver != sender) {
-            if u.int_in_range(0..=3)? > 0 {
-                duplicated
-                    .iter()
-                    .for_each(|finding| hosts[receiver].apply_finding(finding, now));
-            }
-        }
-    }
-    Ok(())
-}
-
-/// Messages are lost, duplicated and reordered. After each host has sent all its findings once more, all hosts bar the
-/// fatal request, and none bars another one.
-#[test]
-fn hosts_come_to_the_same_verdict() {
-    each_seed(300, |u| {
-        let mut hosts: Vec<Quarantine> = (0..4).map(|_| Quarantine::default()).collect();
-        let mut now = Time::from_millis(1_000);
-        for crash_index in 0..4 {
-            let host = u.int_in_range(0..=3)?;
-            crash(
-                &mut hosts[host],
-                fingerprint("fatal"),
-                server(crash_index),
-                BRIEF,
-                now,
-            );
-            if crash_index > 0 {
-                let host = u.int_in_range(0..=3)?;
-                crash(
-                    &mut hosts[host],
-                    fingerprint("beside"),
-                    server(crash_index),
-                    BRIEF,
-                    now,
-                );
-            }
-            exchange(u, &mut hosts, now)?;
-            hosts.iter_mut().for_each(|host| host.evaluate(now));
-            now = now + Duration::from_millis(u.int_in_range(0..=500)?);
-        }
-        now = now + SETTLE_DELAY;
-        let sent: Vec<Vec<Finding>> = hosts
-            .iter_mut()
-            .map(|host| host.findings_to_report(true, now))
-            .collect();
-        for host in &mut hosts {
-            let sent = sent.iter().flatten();
-            sent.for_each(|finding| host.apply_finding(finding, now));
-            host.evaluate(now);
-        }
-        for host in &hosts {
-            assert!(host.barred_for(fingerprint("fatal"), now).is_some());
-            assert!(host.barred_for(fingerprint("beside"), now).is_none());
-        }
-        Ok(())
-    });
-}
-
-/// A host that watches the store reports what it reads there to hosts that don't.
-#[test]
-fn bars_and_releases_from_the_store_reach_other_hosts() {
-    let now = Time::from_millis(500);
-    let (mut watcher, mut other) = (Quarantine::default(), Quarantine::default());
-    watcher.apply_stored_bar(fingerprint("fatal"), BAR_DURATION, now);
-    let sent = watcher.findings_to_report(false, now);
-    sent.iter()
-        .for_each(|finding| other.apply_finding(finding, now));
-    assert!(other.barred_for(fingerprint("fatal"), now).is_some());
-    assert!(
-        watcher.findings_to_report(false, now).is_empty(),
-        "reported once"
-    );
-    assert_eq!(
-        watcher.findings_to_report(true, now),
-        sent,
-        "and again in full notices"
-    );
-    watcher.apply_stored_release(fingerprint("fatal"), now);
-    let sent = watcher.findings_to_report(false, now);
-    sent.iter()
-        .for_each(|finding| other.apply_finding(finding, now));
-    assert!(other.barred_for(fingerprint("fatal"), now).is_none());
-    let verdicts = other.take_verdicts();
-    assert!(verdicts.iter().all(|verdict| !verdict.first_hand));
-}
