--- a/crates/alderglade-core/src/fleet/config.rs
+++ b/crates/alderglade-core/src/fleet/config.rs
@@ -61,7 +61,7 @@
 /// One route.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name, which operators know it by. Only the order of routes and patches depend on it.
+    /// Its name, which operators know it by. Only the order of routes and patches depends on it.
     pub name: Name,
     /// The `Host` that it matches, in lower case.
     pub host: Name,
--- a/crates/alderglade-core/src/fleet/directory.rs
+++ b/crates/alderglade-core/src/fleet/directory.rs
@@ -33,8 +33,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long an entry that lapsed while the store was unavailable may take to be written again. Servers write it within
-/// about two seconds.
+/// How long an entry that lapsed while the store was unavailable may take to be written again. The platform
+/// states about two seconds.
 pub const STORE_RETURN_GRACE: Duration = Duration::from_millis(2_000);
 
 /// How long a departed server that a restored copy of the store lists again is held back. The platform drops the entry
--- a/crates/alderglade-core/src/fleet/quarantine.rs
+++ b/crates/alderglade-core/src/fleet/quarantine.rs
@@ -33,14 +33,14 @@
 use std::time::Duration;
 
 /// Number of unexplained crashes that show that a request causes them. One may be chance, and so may two when many
-/// servers crash at once. Three crashes are tolerated.
+/// servers crash at once. The platform's users tolerate three.
 const GUILTY_CRASHES: usize = 3;
 /// Number of crashes at which a request is barred even if other requests share all of them or many servers crashed at
 /// the same time.
 const CERTAIN_CRASHES: usize = 5;
-/// Number of crashes at which a request is barred regardless of any other explanation. At most three sends after the
-/// third crash are tolerated, and when several such requests come together, those barred first explain the crashes of
-/// the others.
+/// Number of crashes at which a request is barred regardless of any other explanation. The platform's users tolerate
+/// three sends after the third crash, and when several such requests come together, those barred first explain the
+/// crashes of the others.
 const MAX_CRASHES: usize = 6;
 /// A request that has run at a server for longer than this did not crash it. A request that crashes servers does so as
 /// it begins to run, within 0.2 s in every recorded crash. Innocent long answers are rarely this young at three crashes
--- a/crates/alderglade-serve/tests/testsuite/event_lines.rs
+++ b/crates/alderglade-serve/tests/testsuite/event_lines.rs
@@ -43,7 +43,8 @@
     SocketAddr::from(([10, 0, 0, 7], port))
 }
 
-fn fingerprint(first: u8) -> Fingerprint {
+/// Returns a fingerprint that begins with this byte.
+pub fn fingerprint(first: u8) -> Fingerprint {
     format!("{first:02x}112233445566778899aabb")
         .parse()
         .expect("a digest")
--- a/crates/alderglade-serve/tests/testsuite/wire_bytes.rs
+++ b/crates/alderglade-serve/tests/testsuite/wire_bytes.rs
@@ -1,6 +1,7 @@
 //! The bytes of messages between hosts. Fields and variants are distinguished by position only. Hosts of two versions
 //! run side by side, and one would misread the other without any error if two fields or variants changed places.
 
+use crate::event_lines::fingerprint;
 use alderglade_core::fleet::config::{
     Config, Kind, Limits, Patch, Route, Service, Target, Workspace,
 };
@@ -59,9 +60,10 @@
 }
 
 fn finding(first: u8, fact: Fact) -> Finding {
-    let fingerprint = format!("{first:02x}112233445566778899aabb");
-    let fingerprint = fingerprint.parse().expect("a digest");
-    Finding { fingerprint, fact }
+    Finding {
+        fingerprint: fingerprint(first),
+        fact,
+    }
 }
 
 fn limit_report() -> rate_limit::LimitReport {
